--- a/bitternbeam/fleet/returns/planner.py
+++ b/bitternbeam/fleet/returns/planner.py
@@ -11,10 +11,10 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from bitternbeam.fleet.returns.epoch import OPENING, OVER, PACED, Epoch, ReturnReport
 from bitternbeam.fleet.returns.settings import ReturnSettings
 from bitternbeam.fleet.returns.sketches import merged
 from bitternbeam.fleet.returns.slots import Plan, respread, spread
+from bitternbeam.fleet.returns.window import OPENING, OVER, PACED, Epoch, ReturnReport
 
 STEADY = 0.05  # the count of clients, or the budget, moved by less: nothing is planned anew
 OVERRUN = 0.05  # of a period's budget: so many turned away open an epoch
--- a/bitternbeam/lab/returned.py
+++ b/bitternbeam/lab/returned.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from bitternbeam.fleet.returns.epoch import Epoch
-from bitternbeam.fleet.returns.pacing import QUEUED
+from bitternbeam.fleet.returns.admission import QUEUED
 from bitternbeam.fleet.returns.settings import ReturnSettings
 from bitternbeam.fleet.returns.slots import place
+from bitternbeam.fleet.returns.window import Epoch
 from bitternbeam.lab.loads import S, Series
 
 NEAR_MS = 50  # a wait that ends so near a slot was one for that slot
--- a/bitternbeam/lab/storm.py
+++ b/bitternbeam/lab/storm.py
@@ -14,9 +14,9 @@
 from bitternbeam.fleet.limits.grants import grants_of
 from bitternbeam.fleet.limits.records import work_of
 from bitternbeam.fleet.limits.terms import Limit
-from bitternbeam.fleet.returns.epoch import PACED, Epoch, epoch_of
-from bitternbeam.fleet.returns.pacing import PURSE_LEAST, PURSE_MOST
+from bitternbeam.fleet.returns.admission import PURSE_LEAST, PURSE_MOST
 from bitternbeam.fleet.returns.settings import ReturnSettings
+from bitternbeam.fleet.returns.window import PACED, Epoch, epoch_of
 from bitternbeam.lab.called import Called
 from bitternbeam.lab.loads import WAYS_US, S
 from bitternbeam.lab.processes import LabError
--- a/bitternbeam/wiring/fleet/return_work.py
+++ b/bitternbeam/wiring/fleet/return_work.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from bitternbeam.fleet.record import Write, parse_record
-from bitternbeam.fleet.returns.epoch import Epoch, ReturnReport, epoch_of
 from bitternbeam.fleet.returns.planner import EpochPlanner
 from bitternbeam.fleet.returns.settings import ReturnSettings
+from bitternbeam.fleet.returns.window import Epoch, ReturnReport, epoch_of
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.work import Work
--- a/bitternbeam/wiring/fleet/returns.py
+++ b/bitternbeam/wiring/fleet/returns.py
@@ -8,10 +8,10 @@
 
 from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
-from bitternbeam.fleet.returns.epoch import Epoch, report_of
+from bitternbeam.fleet.returns.admission import Returns
 from bitternbeam.fleet.returns.outcome import Admit
-from bitternbeam.fleet.returns.pacing import Returns
 from bitternbeam.fleet.returns.settings import ReturnSettings
+from bitternbeam.fleet.returns.window import Epoch, report_of
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.extension import Extension
 from bitternbeam.wiring.fleet.limits import LimitBudget
--- a/tests/returns_world.py
+++ b/tests/returns_world.py
@@ -12,12 +12,12 @@
 from functools import partial
 from random import Random
 
-from bitternbeam.fleet.returns.epoch import Epoch, ReturnReport, epoch_of, report_of
+from bitternbeam.fleet.returns.admission import Returns
 from bitternbeam.fleet.returns.outcome import Admit
-from bitternbeam.fleet.returns.pacing import Returns
 from bitternbeam.fleet.returns.planner import EpochPlanner
 from bitternbeam.fleet.returns.settings import ReturnSettings
 from bitternbeam.fleet.returns.slots import place
+from bitternbeam.fleet.returns.window import Epoch, ReturnReport, epoch_of, report_of
 
 WALL_MS = 1_800_000_000_000
 
--- a/tests/test_fleet_returns.py
+++ b/tests/test_fleet_returns.py
@@ -9,11 +9,11 @@
 import pytest
 
 from bitternbeam.commands.checking import check_file
-from bitternbeam.fleet.returns.epoch import PACED, Epoch
+from bitternbeam.fleet.returns.admission import PURSE_LEAST, PURSE_MOST, Returns
 from bitternbeam.fleet.returns.outcome import Admit, Wait
-from bitternbeam.fleet.returns.pacing import PURSE_LEAST, PURSE_MOST, Returns
 from bitternbeam.fleet.returns.settings import ReturnSettings
 from bitternbeam.fleet.returns.slots import place, spread
+from bitternbeam.fleet.returns.window import PACED, Epoch
 from bitternbeam.lab.returned import called, seen
 from bitternbeam.lab.storm import Storm
 from bitternbeam.lab.storms import calm, play_faults
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -13,13 +13,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternbeam.fleet.returns.epoch import OVER, PACED, Epoch, ReturnReport, epoch_of
+from bitternbeam.fleet.returns.admission import Returns
 from bitternbeam.fleet.returns.outcome import Admit
-from bitternbeam.fleet.returns.pacing import Returns
 from bitternbeam.fleet.returns.planner import EpochPlanner
 from bitternbeam.fleet.returns.settings import ReturnSettings
 from bitternbeam.fleet.returns.slots import at_turn, place, respread, spread, turn_wait
-from tests.returns_seen import seen
+from bitternbeam.fleet.returns.window import OVER, PACED, Epoch, ReturnReport, epoch_of
+from tests.reconnect_sketches import seen
 from tests.returns_world import WALL_MS, World
 
 SMALL = {"members": 10, "clients": 2_000, "budget": 200.0, "ordinary": 100.0}
--- a/tests/test_returns_parts.py
+++ b/tests/test_returns_parts.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternbeam.fleet.returns.epoch import PACED, Epoch, ReturnReport, epoch_of, report_of
 from bitternbeam.fleet.returns.settings import ReturnSettings, faults
 from bitternbeam.fleet.returns.sketches import Distinct, Dues, Strikes, merged
 from bitternbeam.fleet.returns.slots import place, spread
-from tests.returns_seen import seen
+from bitternbeam.fleet.returns.window import PACED, Epoch, ReturnReport, epoch_of, report_of
+from tests.reconnect_sketches import seen
 from tests.returns_world import WALL_MS
 
 BASE = ReturnSettings("returns", 250.0)
