--- a/bitternbeam/net/platform/back.py
+++ b/bitternbeam/net/platform/back.py
@@ -9,16 +9,16 @@
 from bitternbeam.counters import Counters
 from bitternbeam.decision.interface import Outcome, SwitchState
 from bitternbeam.limits import Limits
-from bitternbeam.net.platform.connection import Leg
-from bitternbeam.net.platform.connections import Place
-from bitternbeam.net.platform.descriptor_share import DescriptorShare
-from bitternbeam.net.platform.legs import Legs
-from bitternbeam.net.platform.pool import Pool
-from bitternbeam.net.platform.strangers import Strangers
-from bitternbeam.net.platform.surroundings import Surroundings
+from bitternbeam.net.platform.booker_connection import UpstreamRequest
+from bitternbeam.net.platform.booker_pool import BookerPool
+from bitternbeam.net.platform.connection_pool import BookerEndpoint
+from bitternbeam.net.platform.descriptor_quota import DescriptorQuota
+from bitternbeam.net.platform.inherited_calls import InheritedCalls
+from bitternbeam.net.platform.upstream_context import UpstreamContext
+from bitternbeam.net.platform.upstream_requests import UpstreamRequests
 from bitternbeam.tables.deadlines import Deadlines
 
-__all__ = ["Place", "PlatformBack"]
+__all__ = ["BookerEndpoint", "PlatformBack"]
 
 
 class PlatformBack:
@@ -27,74 +27,76 @@
     def __init__(
         self, reactor: Any, core: CallControl, deadlines: Deadlines, limits: Limits, counters: Counters
     ) -> None:
-        self.strangers = Strangers(deadlines, limits, counters)
-        self.descriptors = DescriptorShare(limits.upstream_connections, counters)
-        self.surroundings = Surroundings(
-            reactor, core, deadlines, limits, counters, self.strangers, self.descriptors
+        self.inherited_calls = InheritedCalls(deadlines, limits, counters)
+        self.descriptor_quota = DescriptorQuota(limits.upstream_connections, counters)
+        self.context = UpstreamContext(
+            reactor, core, deadlines, limits, counters, self.inherited_calls, self.descriptor_quota
         )
         self.core = core
         self.deadlines = deadlines
         self.limits = limits
-        self.pools: dict[str, Pool] = {}
-        self.legs: dict[str, Leg] = {}  # of all pools, those of bookers that have gone included
-        self._watch()
+        self.pools: dict[str, BookerPool] = {}
+        self.requests: dict[
+            str, UpstreamRequest
+        ] = {}  # of all pools, those of bookers that have gone included
+        self._check_pools()
 
-    def _watch(self) -> None:
+    def _check_pools(self) -> None:
         for pool in list(self.pools.values()):
-            pool.watch()
-        self.deadlines.after(self.limits.booker_retry_us, self._watch)
+            pool.check_liveness()
+        self.deadlines.after(self.limits.booker_retry_us, self._check_pools)
 
-    def listed(self, places: list[Place], whole: bool) -> None:
+    def update_endpoints(self, endpoints: list[BookerEndpoint], complete: bool) -> None:
         """Take news of where the bookers are; a whole list leaves out those that are gone.
 
         What must end ends last: a request goes on at once, and has to find every pool as it is listed now.
         """
-        gone: list[Pool] = []
-        if whole:
-            for name in self.pools.keys() - {place.booker for place in places}:
+        gone: list[BookerPool] = []
+        if complete:
+            for name in self.pools.keys() - {place.booker for place in endpoints}:
                 self._retire(self.pools[name], gone)
-        for place in places:
+        for place in endpoints:
             pool = self.pools.get(place.booker)
             if place.state is SwitchState.GONE:
                 if pool:
                     self._retire(pool, gone)
                 continue
             if pool is None or pool.retired or pool.closed:
-                pool = self.pools[place.booker] = self._pool(place)
-            elif (place.host, place.port) != (pool.place.host, pool.place.port):
+                pool = self.pools[place.booker] = self._new_pool(place)
+            elif (place.host, place.port) != (pool.endpoint.host, pool.endpoint.port):
                 self._retire(pool, gone)
-                pool = self.pools[place.booker] = self._pool(place)
-            if place.started_us > pool.place.started_us:
-                pool.legs.cut_before(place.started_us)
-            pool.place = place
-            self.descriptors.servers = len(self.pools)
+                pool = self.pools[place.booker] = self._new_pool(place)
+            if place.started_us > pool.endpoint.started_us:
+                pool.requests.cut_sent_before(place.started_us)
+            pool.endpoint = place
+            self.descriptor_quota.server_count = len(self.pools)
             if not pool.connections:
                 pool.connect()
         for pool in gone:
-            self._end_at(pool)
-        for place in places:
+            self._drain_pool(pool)
+        for place in endpoints:
             if pool := self.pools.get(place.booker):
-                pool.legs.end_stale()
+                pool.requests.recheck_waiting()
 
-    def _pool(self, place: Place) -> Pool:
-        return Pool(self.surroundings, place, Legs(self.surroundings, self.legs))
+    def _new_pool(self, place: BookerEndpoint) -> BookerPool:
+        return BookerPool(self.context, place, UpstreamRequests(self.context, self.requests))
 
-    def _retire(self, pool: Pool, gone: list[Pool]) -> None:
+    def _retire(self, pool: BookerPool, gone: list[BookerPool]) -> None:
         """Send nothing more to a booker that has gone, or whose address is another now."""
         if not pool.retired:
             pool.retired = True
             gone.append(pool)
 
-    def _end_at(self, pool: Pool) -> None:
+    def _drain_pool(self, pool: BookerPool) -> None:
         """Keep a booker that has gone only while its connection lasts: calls on it are still told of."""
-        pool.legs.end_unsent(Outcome.NOT_SENT)
+        pool.requests.finish_waiting(Outcome.NOT_SENT)
         if not pool.connections:
-            pool.legs.cut_all()
+            pool.requests.cut_all()
             pool.close()
-        self.deadlines.after(self.limits.booker_lost_us, lambda: self._bury(pool))
+        self.deadlines.after(self.limits.booker_lost_us, lambda: self._remove_pool(pool))
 
-    def _bury(self, pool: Pool) -> None:
-        pool.legs.cut_all()
+    def _remove_pool(self, pool: BookerPool) -> None:
+        pool.requests.cut_all()
         pool.close()
         if self.pools.get(pool.name) is pool:
             del self.pools[pool.name]
@@ -121,11 +123,11 @@
 
     def give_up(self, attempt: Attempt) -> bool:
         """Stop waiting for a set-up."""
-        if leg := self.legs.get(attempt.offer.uid):
-            leg.holder.take_back(leg, unanswered=attempt.given_up is Outcome.NO_ANSWER)
+        if leg := self.requests.get(attempt.offer.uid):
+            leg.owner.cancel(leg, unanswered=attempt.given_up is Outcome.NO_ANSWER)
         return True
 
     def release(self, attempt: Attempt) -> None:
         """End a call that stands."""
-        if leg := self.legs.get(attempt.offer.uid):
-            leg.holder.take_back(leg)
+        if leg := self.requests.get(attempt.offer.uid):
+            leg.owner.cancel(leg)
--- a/bitternbeam/net/platform/clients.py
+++ b/bitternbeam/net/platform/client_requests.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum, StrEnum
 
-from bitternbeam.net.platform.lines import Message
-from bitternbeam.net.platform.recent import RecentIds
+from bitternbeam.net.platform.json_lines import Message
+from bitternbeam.net.platform.recent_ids import RecentIds
 from bitternbeam.tables.slots import SlotTable
 
 
@@ -54,14 +54,14 @@
     ref: int = 0  # the front's handle, by which the core names it to the front
     call: int = 0  # the core's handle; 0 while the core is being offered it
     answered: bool = False  # the call stands
-    over: bool = False  # nothing more is owed; it is taken from the table next
+    finished: bool = False  # nothing more is owed; it is taken from the table next
 
 
 class RequestTable:
     """The requests that are open and the calls that stand, by handle and by id."""
 
-    def __init__(self, size: int, recent: RecentIds) -> None:
-        self.recent = recent
+    def __init__(self, size: int, recent_ids: RecentIds) -> None:
+        self.recent_ids = recent_ids
         self._requests: SlotTable[ClientRequest] = SlotTable(size)
         self._by_uid: dict[str, ClientRequest] = {}
 
@@ -88,11 +88,11 @@
         """Return a request by its id, unless it is over."""
         return self._by_uid.get(uid)
 
-    def end(self, request: ClientRequest, now_us: int) -> None:
+    def finish(self, request: ClientRequest, now_us: int) -> None:
         """Mark a request or a call as over; its id is not to be used again yet."""
-        request.over = True
+        request.finished = True
         self._by_uid.pop(request.uid, None)
-        self.recent.add(request.uid, now_us)
+        self.recent_ids.add(request.uid, now_us)
 
     def remove(self, request: ClientRequest) -> None:
         """Keep a request no more."""
--- a/bitternbeam/net/platform/descriptor_share.py
+++ b/bitternbeam/net/platform/descriptor_quota.py
@@ -15,34 +15,34 @@
     """No descriptor was free for a connection; it tells nothing of the server."""
 
 
-class DescriptorShare:
+class DescriptorQuota:
     """Lets connections be made while there are descriptors for them.
 
     Whoever made one says `give_back` once it is closed.
     """
 
     def __init__(self, most: int, counters: Counters) -> None:
-        self.most = most
+        self.limit = most
         self.counters = counters
-        self.servers = 0  # that connections are kept to
-        self.held = 0  # being made, open or being closed
+        self.server_count = 0  # that connections are kept to
+        self.in_use = 0  # being made, open or being closed
 
-    def make(self, connect: Callable[[], Deferred[Any]]) -> Deferred[Any]:
+    def connect(self, connect: Callable[[], Deferred[Any]]) -> Deferred[Any]:
         """Connect; fails with NoDescriptorError at once, and connects nowhere, where the share is used up."""
-        if self.held >= self.most:
+        if self.in_use >= self.limit:
             self.counters.add("booker.no_descriptor")
             return fail(NoDescriptorError())
-        self.held += 1
-        return connect().addErrback(self._not_made)
+        self.in_use += 1
+        return connect().addErrback(self._connect_failed)
 
-    def _not_made(self, failure: Failure) -> Failure:
-        self.held -= 1
+    def _connect_failed(self, failure: Failure) -> Failure:
+        self.in_use -= 1
         return failure
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Take note that a connection is closed."""
-        self.held -= 1
+        self.in_use -= 1
 
-    def to_one(self, most: int) -> int:
+    def per_server(self, most: int) -> int:
         """Return how many connections one server may have, so that the share lasts for all of them."""
-        return max(1, min(most, self.most // max(1, self.servers)))
+        return max(1, min(most, self.limit // max(1, self.server_count)))
--- a/bitternbeam/net/platform/discovery/connection.py
+++ b/bitternbeam/net/platform/discovery/connection.py
@@ -13,21 +13,21 @@
     EventError,
     Heartbeat,
     ListEvent,
-    read_message,
-    read_number,
+    parse_heartbeat,
+    parse_message,
 )
-from bitternbeam.net.platform.lines import JsonLines, Message
+from bitternbeam.net.platform.json_lines import JsonLines, Message
 from bitternbeam.tables.deadlines import Deadlines
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """The watch, as its connection sees it; it tells a connection of its own from an earlier one."""
 
-    def received(self, connection: DiscoveryConnection, news: Heartbeat | ListEvent) -> None:
+    def event_received(self, connection: DiscoveryConnection, news: Heartbeat | ListEvent) -> None:
         """Take what one line says."""
         ...
 
-    def closed(self, connection: DiscoveryConnection) -> None:
+    def connection_closed(self, connection: DiscoveryConnection) -> None:
         """Take note that a connection has ended, or is given up; may be said more than once."""
         ...
 
@@ -35,42 +35,44 @@
 class DiscoveryConnection(JsonLines):
     """A connection to discovery. What stands unfinished when it ends is no line and is never read."""
 
-    def __init__(self, owner: Owner, deadlines: Deadlines, limits: Limits, counters: Counters) -> None:
+    def __init__(
+        self, owner: ConnectionOwner, deadlines: Deadlines, limits: Limits, counters: Counters
+    ) -> None:
         super().__init__("discovery", deadlines, limits, counters)
         self.owner = owner
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Tell the owner."""
         super().connectionLost(reason)
-        self.owner.closed(self)
+        self.owner.connection_closed(self)
 
     def drop(self, why: str) -> None:
         """End it at once and tell the owner, which need not wait for the close."""
         super().drop(why)
-        self.owner.closed(self)
+        self.owner.connection_closed(self)
 
     def ask(self, revision: int) -> None:
         """Ask for every event after that number."""
         self.transport.write(f"watch {revision}\n".encode())
 
-    def message(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """Read an event, or a number in an object."""
         try:
-            news = read_message(message)
+            news = parse_message(message)
         except EventError as error:
-            self._unreadable(error)
+            self._reject_event(error)
             return
-        self.owner.received(self, news)
+        self.owner.event_received(self, news)
 
-    def other(self, line: bytes) -> None:
+    def invalid_line_received(self, line: bytes) -> None:
         """Read a number alone."""
         try:
-            news = read_number(line)
+            news = parse_heartbeat(line)
         except EventError:
-            super().other(line)
+            super().invalid_line_received(line)
             return
-        self.owner.received(self, news)
+        self.owner.event_received(self, news)
 
-    def _unreadable(self, error: EventError) -> None:
+    def _reject_event(self, error: EventError) -> None:
         self.counters.add(f"discovery.bad_events.{error.fault.value}")
         self.drop("bad_event")
--- a/bitternbeam/net/platform/discovery/events.py
+++ b/bitternbeam/net/platform/discovery/events.py
@@ -15,7 +15,7 @@
 STATES = {"up": SwitchState.READY, "draining": SwitchState.DRAINING, "removed": SwitchState.GONE}
 
 
-class Fault(Enum):
+class EventFault(Enum):
     """What is wrong with an event; the value is the last part of its counter's name."""
 
     MISSING = "missing"
@@ -26,10 +26,10 @@
 class EventError(ValueError):
     """An event that cannot be read: the kind of fault, its place in the message, and the cause in words."""
 
-    def __init__(self, fault: Fault, place: str, cause: str) -> None:
-        super().__init__(f"{place}: {cause}")
+    def __init__(self, fault: EventFault, path: str, cause: str) -> None:
+        super().__init__(f"{path}: {cause}")
         self.fault = fault
-        self.place = place
+        self.path = path
         self.cause = cause
 
 
@@ -69,64 +69,64 @@
     return host, int(port)
 
 
-def read_number(line: bytes) -> Heartbeat:
+def parse_heartbeat(line: bytes) -> Heartbeat:
     """Read a line that holds a number alone; raises EventError."""
-    return Heartbeat(_whole_number(line, "line"))
+    return Heartbeat(_parse_integer(line, "line"))
 
 
-def read_message(message: Any) -> Heartbeat | ListEvent:
+def parse_message(message: Any) -> Heartbeat | ListEvent:
     """Read one JSON value; raises EventError, which names the first fault."""
-    revision = _whole_number(_field(message, "rev", "event"), "rev")
+    revision = _parse_integer(_field(message, "rev", "event"), "rev")
     if "pool" not in message:
         return Heartbeat(revision)
     pool = message["pool"]
     full = bool(_field(pool, "full", "pool"))
     servers = _field(pool, "servers", "pool")
     try:
-        entries = tuple(_read_server(server, f"servers[{index}]") for index, server in enumerate(servers))
+        entries = tuple(_parse_server(server, f"servers[{index}]") for index, server in enumerate(servers))
     except TypeError:
-        raise EventError(Fault.TYPE, "servers", "not a list") from None
+        raise EventError(EventFault.TYPE, "servers", "not a list") from None
     return ListEvent(revision, full, entries)
 
 
-def _read_server(server: Any, place: str) -> ServerEntry:
-    host, port = _address(_field(server, "addr", place), f"{place}.addr")
-    state = _state(_field(server, "state", place), f"{place}.state")
-    started_ms = _whole_number(server.get("started_ms", 0), f"{place}.started_ms")
-    cell = _whole_number(_field(server, "cell", place), f"{place}.cell")
+def _parse_server(server: Any, place: str) -> ServerEntry:
+    host, port = _parse_address(_field(server, "addr", place), f"{place}.addr")
+    state = _parse_state(_field(server, "state", place), f"{place}.state")
+    started_ms = _parse_integer(server.get("started_ms", 0), f"{place}.started_ms")
+    cell = _parse_integer(_field(server, "cell", place), f"{place}.cell")
     name = str(_field(server, "id", place))
     return ServerEntry(name, host, port, cell, state, started_ms * 1000)
 
 
 def _field(holder: Any, key: str, place: str) -> Any:
     if not isinstance(holder, dict):
-        raise EventError(Fault.TYPE, place, "not an object")
+        raise EventError(EventFault.TYPE, place, "not an object")
     if key not in holder:
-        raise EventError(Fault.MISSING, f"{place}.{key}", "missing")
+        raise EventError(EventFault.MISSING, f"{place}.{key}", "missing")
     return holder[key]
 
 
-def _whole_number(value: Any, place: str) -> int:
+def _parse_integer(value: Any, place: str) -> int:
     try:
         return int(value)
     except TypeError:
-        raise EventError(Fault.TYPE, place, "not a number") from None
+        raise EventError(EventFault.TYPE, place, "not a number") from None
     except (ValueError, OverflowError):  # the latter for an infinite one, which JSON's readers let pass
-        raise EventError(Fault.VALUE, place, "not a whole number") from None
+        raise EventError(EventFault.VALUE, place, "not a whole number") from None
 
 
-def _address(value: Any, place: str) -> tuple[str, int]:
+def _parse_address(value: Any, place: str) -> tuple[str, int]:
     if not isinstance(value, str):
-        raise EventError(Fault.TYPE, place, "not a string")
+        raise EventError(EventFault.TYPE, place, "not a string")
     try:
         return split_address(value)
     except ValueError:
-        raise EventError(Fault.VALUE, place, "not host:port") from None
+        raise EventError(EventFault.VALUE, place, "not host:port") from None
 
 
-def _state(value: Any, place: str) -> SwitchState:
+def _parse_state(value: Any, place: str) -> SwitchState:
     if not isinstance(value, str):
-        raise EventError(Fault.TYPE, place, "not a string")
+        raise EventError(EventFault.TYPE, place, "not a string")
     if value not in STATES:
-        raise EventError(Fault.VALUE, place, "unknown state")
+        raise EventError(EventFault.VALUE, place, "unknown state")
     return STATES[value]
--- a/bitternbeam/net/platform/discovery/server_list.py
+++ b/bitternbeam/net/platform/discovery/server_list.py
@@ -4,7 +4,7 @@
 
 from bitternbeam.core.control import CallControl
 from bitternbeam.decision.interface import ListKind, SwitchEntry
-from bitternbeam.net.platform.back import Place, PlatformBack
+from bitternbeam.net.platform.back import BookerEndpoint, PlatformBack
 from bitternbeam.net.platform.discovery.events import ListEvent
 
 
@@ -22,6 +22,8 @@
         """
         servers = event.servers
         entries = [SwitchEntry(one.server, one.cell, one.state, one.started_us) for one in servers]
-        places = [Place(one.server, one.host, one.port, one.state, one.started_us) for one in servers]
+        places = [
+            BookerEndpoint(one.server, one.host, one.port, one.state, one.started_us) for one in servers
+        ]
         self.core.listed(kind, entries)
-        self.back.listed(places, whole=kind is not ListKind.CHANGES)
+        self.back.update_endpoints(places, complete=kind is not ListKind.CHANGES)
--- a/bitternbeam/net/platform/discovery/watch.py
+++ b/bitternbeam/net/platform/discovery/watch.py
@@ -30,16 +30,16 @@
     EventError,
     Heartbeat,
     ListEvent,
-    read_message,
+    parse_message,
     split_address,
 )
-from bitternbeam.net.platform.discovery.sequence import Order, Sequence
+from bitternbeam.net.platform.discovery.sequence import EventOrder, EventSequence
 from bitternbeam.tables.deadlines import Deadline, Deadlines
 
 Update = Callable[[ListKind, ListEvent], None]
 
 
-class State(Enum):
+class WatchState(Enum):
     """What the watch waits for."""
 
     IDLE = "idle"  # not started
@@ -74,29 +74,29 @@
         self.deadlines = deadlines
         self.limits = limits
         self.counters = counters
-        self.sequence = Sequence()
-        self.state = State.IDLE
+        self.sequence = EventSequence()
+        self.state = WatchState.IDLE
         self._connection: DiscoveryConnection | None = None
-        self._attempt: Deferred[Any] | None = None  # the connection that is being made
+        self._pending_connect: Deferred[Any] | None = None  # the connection that is being made
         self._timer: Deadline | None = None  # of the state; none outlives it
-        self._on_settled: Callable[[], None] | None = None
+        self._on_synced: Callable[[], None] | None = None
 
-    def start(self, known: dict[str, Any], on_settled: Callable[[], None] | None = None) -> None:
+    def start(self, known: dict[str, Any], on_synced: Callable[[], None] | None = None) -> None:
         """Take what the configuration knows and connect.
 
         `on_settled` is called once what came since is known, or can't be known for now. What is known was
         written before this process began, and what discovery has told since counts as told: a request taken
         before its first word was sent to a server that drained by then.
         """
-        self._on_settled = on_settled
-        self._take_known(known)
+        self._on_synced = on_synced
+        self._apply_known(known)
         self._connect()
 
     def stop(self) -> None:
         """Follow it no more."""
-        self._on_settled = None
-        self._release(lambda transport: transport.loseConnection())
-        self.state = State.STOPPED
+        self._on_synced = None
+        self._disconnect(lambda transport: transport.loseConnection())
+        self.state = WatchState.STOPPED
 
     def move(self, address: str) -> None:
         """Follow discovery at another address; raises ValueError and changes nothing if it is none.
@@ -105,35 +105,35 @@
         """
         self.host, self.port = split_address(address)
         self.counters.add("discovery.moves")
-        if self.state not in (State.IDLE, State.STOPPED):
+        if self.state not in (WatchState.IDLE, WatchState.STOPPED):
             self._connect()
 
-    def received(self, connection: DiscoveryConnection, news: Heartbeat | ListEvent) -> None:
+    def event_received(self, connection: DiscoveryConnection, news: Heartbeat | ListEvent) -> None:
         """Take what one line of a connection says; nothing that an earlier connection says."""
         if connection is not self._connection:
             self.counters.add("discovery.stale_lines")
             return
-        order = self.sequence.order(news)
-        if order is Order.GAP:
+        order = self.sequence.classify(news)
+        if order is EventOrder.GAP:
             connection.drop("gap")  # the next connection asks for what is missing
             return
-        self._enter(State.WATCHING, self.limits.discovery_silent_us, self._silent)
+        self._enter(WatchState.WATCHING, self.limits.discovery_silent_us, self._silence_timed_out)
         if isinstance(news, ListEvent):
-            self._take(news, order)
+            self._apply(news, order)
             # What else was missed comes in the same burst: only the number alone says that this was all.
-            self.deadlines.after(self.limits.discovery_burst_us, self._settled)
+            self.deadlines.after(self.limits.discovery_burst_us, self._synced)
             return
-        if order is Order.BEHIND:
+        if order is EventOrder.BEHIND:
             self.counters.add("discovery.behind")
-        self._settled()
+        self._synced()
 
-    def closed(self, connection: DiscoveryConnection) -> None:
+    def connection_closed(self, connection: DiscoveryConnection) -> None:
         """Try anew after a pause, unless another connection has taken its place."""
         if connection is self._connection:
             self._connection = None
             self._pause()
 
-    def _take_known(self, known: dict[str, Any]) -> None:
+    def _apply_known(self, known: dict[str, Any]) -> None:
         """Take the configuration's events, up to the first that is unreadable or follows on a gap.
 
         Whatever is beyond is asked for: the number that the configuration names counts only as far as its
@@ -141,43 +141,43 @@
         """
         for message in known.get("notices", ()):
             try:
-                event = read_message(message)
+                event = parse_message(message)
             except EventError as error:
                 self.counters.add(f"discovery.bad_events.{error.fault.value}")
                 return
-            order = self.sequence.order(event)
-            if order is Order.GAP:
+            order = self.sequence.classify(event)
+            if order is EventOrder.GAP:
                 self.counters.add("discovery.gaps_in_known")
                 return
             if isinstance(event, ListEvent):
-                self._take(event, order)
+                self._apply(event, order)
 
-    def _take(self, event: ListEvent, order: Order) -> None:
-        if order is Order.REPEATED:
+    def _apply(self, event: ListEvent, order: EventOrder) -> None:
+        if order is EventOrder.REPEATED:
             self.counters.add("discovery.repeated_events")
             return
-        kind = self.sequence.take(event)
+        kind = self.sequence.advance(event)
         self.counters.add("discovery.events")
         self.update(kind, event)
 
-    def _settled(self) -> None:
+    def _synced(self) -> None:
         """Tell that what is new is known, or that discovery says nothing for now."""
-        on_settled, self._on_settled = self._on_settled, None
+        on_settled, self._on_synced = self._on_synced, None
         if on_settled:
             on_settled()
 
-    def _enter(self, state: State, wait_us: int, due: Callable[[], None]) -> None:
+    def _enter(self, state: WatchState, wait_us: int, due: Callable[[], None]) -> None:
         """Go to a state whose time ends after a wait."""
         if self._timer:
             self._timer.cancel()
         self.state = state
         self._timer = self.deadlines.after(wait_us, due)
 
-    def _release(self, close: Callable[[Any], None]) -> None:
+    def _disconnect(self, close: Callable[[Any], None]) -> None:
         """Let go of the timer, the connection and the one being made; nothing that they still say counts."""
         timer, self._timer = self._timer, None
         connection, self._connection = self._connection, None
-        attempt, self._attempt = self._attempt, None
+        attempt, self._pending_connect = self._pending_connect, None
         if timer:
             timer.cancel()
         if connection:
@@ -187,8 +187,8 @@
 
     def _connect(self) -> None:
         """Connect, in place of whatever connection there is or is being made."""
-        self._release(lambda transport: transport.abortConnection())
-        self.state = State.CONNECTING
+        self._disconnect(lambda transport: transport.abortConnection())
+        self.state = WatchState.CONNECTING
         attempt = connect(
             self.reactor,
             self.host,
@@ -196,35 +196,35 @@
             self.limits.discovery_connect_us,
             lambda: DiscoveryConnection(self, self.deadlines, self.limits, self.counters),
         )
-        self._attempt = attempt
+        self._pending_connect = attempt
         attempt.addCallbacks(
             lambda connection: self._connected(attempt, connection),
-            lambda _failure: self._not_connected(attempt),
+            lambda _failure: self._connect_failed(attempt),
         )
 
     def _connected(self, attempt: Deferred[Any], connection: DiscoveryConnection) -> None:
-        if attempt is not self._attempt:
+        if attempt is not self._pending_connect:
             connection.transport.abortConnection()
             return
-        self._attempt = None
+        self._pending_connect = None
         self._connection = connection
         self.counters.add("discovery.connections")
         connection.ask(self.sequence.revision)
-        self._enter(State.ASKED, self.limits.discovery_first_line_us, self._silent)
-        if self._on_settled:
-            self.deadlines.after(self.limits.discovery_settle_us, self._settled)
+        self._enter(WatchState.ASKED, self.limits.discovery_first_line_us, self._silence_timed_out)
+        if self._on_synced:
+            self.deadlines.after(self.limits.discovery_settle_us, self._synced)
 
-    def _not_connected(self, attempt: Deferred[Any]) -> None:
-        if attempt is not self._attempt:
+    def _connect_failed(self, attempt: Deferred[Any]) -> None:
+        if attempt is not self._pending_connect:
             return
-        self._attempt = None
+        self._pending_connect = None
         self.counters.add("discovery.no_connection")
-        self._settled()
+        self._synced()
         self._pause()
 
     def _pause(self) -> None:
-        self._enter(State.PAUSED, self.limits.discovery_retry_us, self._connect)
+        self._enter(WatchState.PAUSED, self.limits.discovery_retry_us, self._connect)
 
-    def _silent(self) -> None:
+    def _silence_timed_out(self) -> None:
         if self._connection:
             self._connection.drop("silent")
--- a/bitternbeam/net/platform/strangers.py
+++ b/bitternbeam/net/platform/inherited_calls.py
@@ -9,7 +9,7 @@
 from bitternbeam.tables.deadlines import Deadlines
 
 
-class Strangers:
+class InheritedCalls:
     """Hands on the release of a call that this process never sent, while it is young.
 
     A process that ends leaves its calls standing at their bookers, which send each release on a connection of
@@ -20,22 +20,22 @@
 
     def __init__(self, deadlines: Deadlines, limits: Limits, counters: Counters) -> None:
         self.counters = counters
-        self.own: set[str] | None = set()  # sent by this process; None: it is young no more
-        self.told: Callable[[str, int], None] = lambda _uid, _cause: None
-        deadlines.after(limits.strangers_us, self.grow_up)
+        self.own_uids: set[str] | None = set()  # sent by this process; None: it is young no more
+        self.on_release: Callable[[str, int], None] = lambda _uid, _cause: None
+        deadlines.after(limits.strangers_us, self.expire)
 
-    def grow_up(self) -> None:
+    def expire(self) -> None:
         """Hand on no more: what stood before this process is over."""
-        self.own = None
+        self.own_uids = None
 
-    def sent(self, uid: str) -> None:
+    def record_sent(self, uid: str) -> None:
         """Note a set-up of this process's own."""
-        if self.own is not None:
-            self.own.add(uid)
+        if self.own_uids is not None:
+            self.own_uids.add(uid)
 
-    def released(self, uid: str, cause: int) -> None:
+    def release_received(self, uid: str, cause: int) -> None:
         """Take a release of a call that is not known here."""
-        if self.own is not None and uid not in self.own:
-            self.own.add(uid)  # a booker may repeat it on each new connection
+        if self.own_uids is not None and uid not in self.own_uids:
+            self.own_uids.add(uid)  # a booker may repeat it on each new connection
             self.counters.add("booker.strangers_released")
-            self.told(uid, cause)
+            self.on_release(uid, cause)
--- a/bitternbeam/net/platform/closing.py
+++ b/bitternbeam/net/platform/lingering_close.py
@@ -40,14 +40,14 @@
         self.limits = limits
         self.counters = counters
         self.state = CloseState.FLUSHING
-        self.discarded = 0  # bytes of input thrown away
-        self.deadline = deadlines.after(limits.stalled_us, self._bound_met)
+        self.discarded_bytes = 0  # bytes of input thrown away
+        self.deadline = deadlines.after(limits.stalled_us, self._limit_reached)
 
-    def begin(self, make_room: bool) -> None:
+    def start(self, make_room: bool) -> None:
         """Send the end of our output behind what was written; at once, if all of that has left."""
         self.lingering[self] = None
         if make_room and len(self.lingering) > self.limits.linger_connections:
-            next(iter(self.lingering))._bound_met()
+            next(iter(self.lingering))._limit_reached()
         if self.state is CloseState.CLOSED:
             return
         self.transport.unregisterProducer()  # Twisted half-closes no connection with a paused producer
@@ -57,32 +57,32 @@
         # A failed write needs no care here: the reactor meets it again, as the socket stays watched.
         self.transport.doWrite()
 
-    def flushed(self) -> None:
+    def output_closed(self) -> None:
         """Note that the end of our output has been sent."""
         if self.state is CloseState.FLUSHING:
             self.state = CloseState.LINGERING
             self.deadline.cancel()
-            self.deadline = self.deadlines.after(self.limits.linger_us, self._bound_met)
+            self.deadline = self.deadlines.after(self.limits.linger_us, self._limit_reached)
 
-    def received(self, size: int) -> None:
+    def input_received(self, size: int) -> None:
         """Throw input away, up to the bound."""
-        self.discarded += size
-        if self.discarded > self.limits.linger_bytes:
-            self._bound_met()
+        self.discarded_bytes += size
+        if self.discarded_bytes > self.limits.linger_bytes:
+            self._limit_reached()
 
-    def closed(self) -> None:
+    def connection_closed(self) -> None:
         """Note that the connection has gone."""
         self.state = CloseState.CLOSED
         self.deadline.cancel()
         self.lingering.pop(self, None)
 
-    def _bound_met(self) -> None:
+    def _limit_reached(self) -> None:
         if self.state is CloseState.CLOSED:
             return
         self.counters.add(f"closing.bound_met.{self.state.value}")
         lingering = self.state is CloseState.LINGERING
-        self.closed()
-        if lingering and self.discarded <= self.limits.linger_bytes:
+        self.connection_closed()
+        if lingering and self.discarded_bytes <= self.limits.linger_bytes:
             self.transport.loseConnection()  # no reset, if the peer has sent nothing more
         else:
             self.transport.abortConnection()
--- a/bitternbeam/net/platform/recent.py
+++ b/bitternbeam/net/platform/recent_ids.py
@@ -12,27 +12,27 @@
     be told from it at the server; nor would the pause after an attempt in doubt be kept.
     """
 
-    def __init__(self, keep_us: int, most: int) -> None:
+    def __init__(self, retention_us: int, max_ids: int) -> None:
         """Keep each id for keep_us, and at most so many of them: the oldest goes first."""
-        self.keep_us = keep_us
-        self.most = most
-        self._until_us: OrderedDict[str, int] = OrderedDict()
+        self.retention_us = retention_us
+        self.max_ids = max_ids
+        self._expiry_us: OrderedDict[str, int] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._until_us)
+        return len(self._expiry_us)
 
     def add(self, uid: str, now_us: int) -> None:
         """Note an id whose request or call is over now."""
         self._expire(now_us)
-        self._until_us[uid] = now_us + self.keep_us
-        self._until_us.move_to_end(uid)
-        if len(self._until_us) > self.most:
-            self._until_us.popitem(last=False)
+        self._expiry_us[uid] = now_us + self.retention_us
+        self._expiry_us.move_to_end(uid)
+        if len(self._expiry_us) > self.max_ids:
+            self._expiry_us.popitem(last=False)
 
-    def holds(self, uid: str, now_us: int) -> bool:
+    def contains(self, uid: str, now_us: int) -> bool:
         """Tell whether an id was over so short a while ago."""
-        return self._until_us.get(uid, now_us) > now_us
+        return self._expiry_us.get(uid, now_us) > now_us
 
     def _expire(self, now_us: int) -> None:
-        while self._until_us and next(iter(self._until_us.values())) <= now_us:
-            self._until_us.popitem(last=False)
+        while self._expiry_us and next(iter(self._expiry_us.values())) <= now_us:
+            self._expiry_us.popitem(last=False)
--- a/bitternbeam/net/platform/releases.py
+++ b/bitternbeam/net/platform/releases.py
@@ -6,11 +6,11 @@
 
 from bitternbeam.counters import Counters
 from bitternbeam.limits import Limits
-from bitternbeam.net.platform.downstream import ClientConnection
+from bitternbeam.net.platform.client_connection import ClientConnection
 from bitternbeam.tables.slots import SlotTable
 
 
-class Releases:
+class ReleaseSender:
     """Sends releases to clients, and keeps those for which there is no connection now."""
 
     def __init__(self, connections: SlotTable[ClientConnection], limits: Limits, counters: Counters) -> None:
@@ -21,10 +21,10 @@
 
     def send(self, connection: ClientConnection | None, uid: str, cause: int) -> None:
         """Send a release on a call's own connection, or else on one that leads to the clients, or keep it."""
-        connection = connection or self._served()
+        connection = connection or self._client_connection()
         if connection is not None:
             self.counters.add("client.releases")
-            connection.stop(uid, cause)
+            connection.send_stop(uid, cause)
             return
         self.waiting[uid] = cause
         if len(self.waiting) > self.limits.stray_releases:
@@ -36,11 +36,11 @@
         while self.waiting:
             self.send(connection, *self.waiting.popitem(last=False))
 
-    def _served(self) -> ClientConnection | None:
+    def _client_connection(self) -> ClientConnection | None:
         """Return a connection that leads to the clients.
 
         Most may belong to those that only hold on or talk nonsense, or be about to go themselves. One on
         which calls stand leads to the clients, then one that was served; of these, the one heard last.
         """
-        served = [one for one in self.connections.values() if one.served]
-        return max(served, key=lambda one: (one.standing_calls > 0, one.idle_since_us), default=None)
+        served = [one for one in self.connections.values() if one.has_served_call]
+        return max(served, key=lambda one: (one.established_calls > 0, one.idle_since_us), default=None)
--- a/bitternbeam/net/platform/requests.py
+++ b/bitternbeam/net/platform/request_parsing.py
@@ -7,24 +7,24 @@
 from typing import Any
 
 from bitternbeam.core.calls import Offer
-from bitternbeam.net.platform.lines import Message, figure
+from bitternbeam.net.platform.json_lines import Message, parse_number
 from bitternbeam.net.reports import figures
 
-REQUEST_ID = re.compile("[0-9a-fA-F]{16}")
-MOST_WIDTH = 1_000  # of a call, in circuits: more is no call
+REQUEST_ID_PATTERN = re.compile("[0-9a-fA-F]{16}")
+MAX_WIDTH_CIRCUITS = 1_000  # of a call, in circuits: more is no call
 NO_CELL = -1  # of a request without a destination
 
 
-class UnusableRequestError(Exception):
+class InvalidRequestError(Exception):
     """A field of a request has the wrong type or makes no sense; its text names the field."""
 
 
 def is_request_id(uid: str) -> bool:
     """Tell whether an id has the form that the protocol gives it."""
-    return REQUEST_ID.fullmatch(uid) is not None
+    return REQUEST_ID_PATTERN.fullmatch(uid) is not None
 
 
-def read_request(
+def parse_request(
     message: Message, *, uid: str, ref: int, client: str, arrived_us: int, classes: Collection[str],
     longest_us: int, key_chars: int,
 ) -> Offer:  # fmt: skip
@@ -36,20 +36,20 @@
     meta: dict[str, Any] = message.get("meta", {})
     call_class, key, body = meta.get("class"), meta.get("key", ""), message.get("body", "")
     if not isinstance(call_class, str) or call_class not in classes:
-        raise UnusableRequestError("class")
+        raise InvalidRequestError("class")
     if not isinstance(key, str) or len(key) > key_chars:
-        raise UnusableRequestError("key")  # kept while its client may ask again: long ones fill the memory
+        raise InvalidRequestError("key")  # kept while its client may ask again: long ones fill the memory
     if not isinstance(body, str):
-        raise UnusableRequestError("body")
-    left_ms = figure(meta, "left")
+        raise InvalidRequestError("body")
+    left_ms = parse_number(meta, "left")
     if left_ms is None or not 0 < left_ms * 1000 <= longest_us:
-        raise UnusableRequestError("left")
+        raise InvalidRequestError("left")
     extras = figures(meta.get("extras", ""))
     if extras is None:
-        raise UnusableRequestError("extras")
+        raise InvalidRequestError("extras")
     cell, width = extras.get("dest", NO_CELL), extras.get("width", 1)
-    if cell < NO_CELL or not 0 < width <= MOST_WIDTH:
-        raise UnusableRequestError("extras")
+    if cell < NO_CELL or not 0 < width <= MAX_WIDTH_CIRCUITS:
+        raise InvalidRequestError("extras")
     return Offer(
         uid=uid,
         call_class=call_class,
--- a/bitternbeam/net/platform/surroundings.py
+++ b/bitternbeam/net/platform/upstream_context.py
@@ -8,13 +8,13 @@
 from bitternbeam.core.control import CallControl
 from bitternbeam.counters import Counters
 from bitternbeam.limits import Limits
-from bitternbeam.net.platform.descriptor_share import DescriptorShare
-from bitternbeam.net.platform.strangers import Strangers
+from bitternbeam.net.platform.descriptor_quota import DescriptorQuota
+from bitternbeam.net.platform.inherited_calls import InheritedCalls
 from bitternbeam.tables.deadlines import Deadlines
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class UpstreamContext:
     """The parts of the program that a pool meets."""
 
     reactor: Any
@@ -22,5 +22,5 @@
     deadlines: Deadlines
     limits: Limits
     counters: Counters
-    strangers: Strangers
-    descriptors: DescriptorShare
+    inherited_calls: InheritedCalls
+    descriptor_quota: DescriptorQuota
--- a/bitternbeam/wiring/platform.py
+++ b/bitternbeam/wiring/platform.py
@@ -57,7 +57,7 @@
         self.back = PlatformBack(common.reactor, self.core, deadlines, limits, counters)
         self.core.attach(self.back)
         self.front = PlatformFront(self.core, deadlines, limits, counters)
-        self.back.strangers.told = self.front.stranger
+        self.back.inherited_calls.on_release = self.front.inherited_call_released
         self.discovery = DiscoveryWatch(
             reactor=common.reactor,
             address=config.board,
@@ -81,7 +81,7 @@
         return made
 
     def _listen(self) -> Any:
-        if self.front.closing:
+        if self.front.shutting_down:
             return None  # guards against taking connections, also another process's, after SIGTERM
         return self._port().addCallback(self._listening)
 
@@ -117,7 +117,7 @@
         On an inherited socket the process beside this one accepts what still comes: this one takes no
         more, so that no connection waits in a queue that nobody here will read.
         """
-        self.front.closing = True
+        self.front.shutting_down = True
         if self.handover:
             self.handover.stop()
             if self.port:
@@ -128,7 +128,7 @@
         """Tell whether a request is open, half read, or on its way on a connection just made."""
         young_us = self.common.deadlines.now_us() - self.common.limits.client_young_us
         return super().busy() or any(
-            one.half_read or (not one.asked and one.idle_since_us > young_us)
+            one.has_partial_message or (not one.has_been_used and one.idle_since_us > young_us)
             for one in self.front.connections.values()
         )
 
@@ -142,7 +142,7 @@
         if self.port:
             close_listener(self.port)
             self.port = None
-        reading = list(self.front.unclosed)
+        reading = list(self.front.open_transports)
         for _ in range(LAST_READS):
             reading = [connection for connection in reading if connection.read_pending()]
         self.core.hang_up_all(leave_standing=True)
@@ -170,4 +170,4 @@
 
     def closed(self) -> bool:
         """Tell whether every caller's connection has closed."""
-        return not self.front.unclosed
+        return not self.front.open_transports
--- a/tests/downstream_world.py
+++ b/tests/downstream_world.py
@@ -19,7 +19,7 @@
 from bitternbeam.decision import interface as api
 from bitternbeam.limits import Limits
 from bitternbeam.net.connect import listen
-from bitternbeam.net.platform.downstream import ClientConnection
+from bitternbeam.net.platform.client_connection import ClientConnection
 from bitternbeam.net.platform.front import PlatformFront
 from tests.hand_clock import HandClock
 from tests.loop import reactor
@@ -187,7 +187,7 @@
     def connection(self, client: RawClient) -> ClientConnection:
         """Return the front's end of a client's connection."""
         port = client.socket.getsockname()[1]
-        ends = (*self.front.connections.values(), *self.front.over_limit.connections)
+        ends = (*self.front.connections.values(), *self.front.over_limit_connections.connections)
         return next(one for one in ends if one.transport.getPeer().port == port)
 
     def arrived(self, connection: ClientConnection) -> None:
@@ -220,7 +220,7 @@
         for client in self.clients:
             client.socket.close()
         self.ports[0].stopListening()
-        self.until(lambda: not self.front.connections and not self.front.over_limit.connections)
+        self.until(lambda: not self.front.connections and not self.front.over_limit_connections.connections)
         for _ in range(3):
             self.turn()
 
--- a/tests/held_connects.py
+++ b/tests/held_connects.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 
 from bitternbeam.net.connect import connect
-from bitternbeam.net.platform import connections
+from bitternbeam.net.platform import connection_pool
 from tests.loop import until
 
 
@@ -20,7 +20,7 @@
         """Hold every connection to a server from now on."""
         self.waiting: list[Callable[[], object]] = []
         self.failing: list[Callable[[], object]] = []
-        monkeypatch.setattr(connections, "connect", self._held)
+        monkeypatch.setattr(connection_pool, "connect", self._held)
 
     def _held(
         self, reactor: Any, host: str, port: int, timeout_us: int, build: Callable[[], Any]
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -23,15 +23,15 @@
     world.waiting(client, ID)
     connection = world.connection(client)
     while not connection.transport.producerPaused:
-        connection.say({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
+        connection.send({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
     for _ in range(3):
-        connection.say({"kind": "staging", "uid": ID, "meta": {}})
+        connection.send({"kind": "staging", "uid": ID, "meta": {}})
     if reads:
         world.until(lambda: client.told(ID) and not connection.transport.producerPaused)
     world.pass_us(world.limits.stalled_us - 1)
-    assert connection.open
+    assert connection.is_open
     world.pass_us(1)
-    assert connection.open is reads
+    assert connection.is_open is reads
     if reads:
         world.stands(ID)
         world.until(lambda: ("running", None) in client.told(ID))
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -69,7 +69,7 @@
 
     def busy(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.TimerDue):
-            connection.look()
+            connection.poll_input()
             connection.offer_queued()
             leave()
         return [SEND] if isinstance(event, api.NewCall) else []
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -12,8 +12,8 @@
 
 from bitternbeam.limits import Limits
 from bitternbeam.net.connect import listen
-from bitternbeam.net.platform.closing import LingeringClose
-from bitternbeam.net.platform.lines import JsonLines, Message
+from bitternbeam.net.platform.json_lines import JsonLines, Message
+from bitternbeam.net.platform.lingering_close import LingeringClose
 from tests.loop import parts, pause, reactor, until
 
 LINE = b'{"kind":"launch","uid":"9b1f03aa5c7e2d41"}\n'
@@ -29,7 +29,7 @@
         self.taken: list[Message] = []
         self.lost = False
 
-    def message(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         self.taken.append(message)
 
     def connectionLost(self, *reason: Any) -> None:
@@ -58,7 +58,7 @@
         self.sockets.append(peer)
         count = len(self.lines)
         peer.connect(("127.0.0.1", self.ports[0].getHost().port))
-        until(lambda: len(self.lines) > count and self.lines[count].open)
+        until(lambda: len(self.lines) > count and self.lines[count].is_open)
         return self.lines[-1], peer
 
     def end(self) -> None:
@@ -98,7 +98,7 @@
     # Closed with input unread, the kernel resets the connection and drops what the peer had no room for yet.
     line, peer = wire.pair(receive_buffer=4096)
     for number in range(200):
-        line.say({"kind": "running", "uid": f"{number:016x}", "body": "x" * 200})
+        line.send({"kind": "running", "uid": f"{number:016x}", "body": "x" * 200})
     line.transport.doWrite()  # into the kernel, more than the peer has room for
     peer.sendall(LINE)  # unread at the close
     line.close_gracefully("test")
@@ -122,10 +122,10 @@
     line, peer = wire.pair()
     peer.sendall(LINE + LINE[:20])  # in the kernel; the reactor does not run
     assert line.read_pending()
-    assert len(line.taken) == 1 and line.half_read
+    assert len(line.taken) == 1 and line.has_partial_message
     assert not line.read_pending()
     peer.sendall(LINE[20:])
-    assert line.read_pending() and len(line.taken) == 2 and not line.half_read
+    assert line.read_pending() and len(line.taken) == 2 and not line.has_partial_message
 
 
 def test_a_peers_end_or_reset_is_left_for_the_reactor_to_find(wire: Wire) -> None:
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -75,7 +75,7 @@
     server.say("check", "t", reason=0)
     until(lambda: server.kinds("t"))
     assert not stage.caller.got and not server.lost
-    assert not stage.core.calls and not stage.back.legs
+    assert not stage.core.calls and not stage.back.requests
 
 
 def test_answers_behind_a_refusal_or_on_another_connection_reach_nobody(stage: Stage) -> None:
@@ -121,8 +121,8 @@
 
     stage.core.stood = stood  # type: ignore[method-assign]
     pool = stage.back.pools["s0"]
-    (connection,) = {leg.connection for leg in stage.back.legs.values()}
-    pool.best = lambda: connection  # type: ignore[method-assign, assignment, return-value]
+    (connection,) = {leg.connection for leg in stage.back.requests.values()}
+    pool.least_loaded = lambda: connection  # type: ignore[method-assign, assignment, return-value]
     assert stage.launch(ID2) is server
     answers = b"".join(
         json.dumps({"kind": "running", "uid": uid, "meta": {}, "body": "x"}).encode() + b"\n"
@@ -144,7 +144,7 @@
     stage.ask(stage.caller, ID)
     connects.held(2)
     connects.fail_first()
-    assert ID in stage.back.legs and not stage.counters["outcomes.no_connection"]
+    assert ID in stage.back.requests and not stage.counters["outcomes.no_connection"]
     connects.open()
     until(lambda: stage.at(ID))
     stage.at(ID)[0].say("running", ID, body="x")
@@ -164,7 +164,7 @@
     connects.fail_first()
     assert stage.counters["outcomes.no_connection"] == 1
     until(lambda: stage.caller.kinds(ID) == [("stop", 34)])
-    assert not stage.back.legs and stage.back.pools["s0"].connecting == 0
+    assert not stage.back.requests and stage.back.pools["s0"].connecting == 0
 
 
 def test_a_release_that_comes_before_its_answer_ends_the_attempt_once(stage: Stage) -> None:
@@ -190,11 +190,11 @@
     pool.connect()
     until(lambda: len(pool.connections) == 2 and len(stage.bookers) == 2)
     connection.transport.write(b'{"kind":"stopped","uid":""}\n' * 500_000)  # more than the kernel takes
-    until(lambda: connection.backlogged)
-    connection.heard_us = stage.core.clock.now_us() + 1  # of equals it would be taken
+    until(lambda: connection.has_unsent_output)
+    connection.last_received_us = stage.core.clock.now_us() + 1  # of equals it would be taken
     set_up_now(stage, ID)
     assert list(connection.pending) == []
-    (leg,) = stage.back.legs.values()
+    (leg,) = stage.back.requests.values()
     assert leg.connection is not None and leg.connection is not connection
     until(lambda: stage.at(ID))
     assert ID not in slow.seen
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -339,7 +339,7 @@
     boards[1].asked()
     earlier[0].lineReceived(event(4, "removed"))
     earlier[0].lineReceived(b"9")
-    earlier[0].owner.closed(earlier[0])
+    earlier[0].owner.connection_closed(earlier[0])
     assert follower.state() is SwitchState.READY and follower.watch.state.value == "asked"
     follower.clock.advance(LIMITS.discovery_first_line_us)  # no line of theirs put the silence off
     assert follower.watch.state.value == "paused"
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -71,7 +71,7 @@
     ref = world.waiting(client, ID)
     connection = world.connection(client)
     while not connection.transport.producerPaused:
-        connection.say({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
+        connection.send({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
     if paused:
         connection.transport.pauseProducing()
     end(client)
@@ -95,7 +95,7 @@
     leave(client)
     world.arrived(connection)
     known = world.counters["client.messages_in"]
-    world.until(lambda: world.counters["client.messages_in"] > known or not connection.open)
+    world.until(lambda: world.counters["client.messages_in"] > known or not connection.is_open)
     if leave is LEAVES["cancel"]:
         client.sync()
         assert not client.told(ID)  # none is owed
@@ -256,11 +256,13 @@
     second.send(request(ID))
     second.sync()
     assert second.told(ID) == ([] if elsewhere else told) + [("stop", 41)]
-    world.front.stranger(ID, 16)  # a release of the first one that its server sends late, or again
+    world.front.inherited_call_released(
+        ID, 16
+    )  # a release of the first one that its server sends late, or again
     second.sync()
     assert second.told(ID)[-1] == ("stop", 41) and world.module.calls() == [ID]
     assert len(world.back.attempts) == sent
-    world.clock.time_us += world.front.recent.keep_us
+    world.clock.time_us += world.front.recent_ids.retention_us
     second.send(request(ID))
     world.until(lambda: world.module.calls() == [ID, ID])
 
@@ -274,11 +276,11 @@
 
 def test_recent_ids_are_bounded_in_time_and_number() -> None:
     world = DownstreamWorld(Limits(calls=2))
-    recent = world.front.recent
+    recent = world.front.recent_ids
     for number, uid in enumerate((ID, ID2, ID3)):
         recent.add(uid, number)
-    assert len(recent) == 2 and not recent.holds(ID, 3)
-    assert recent.holds(ID2, recent.keep_us) and not recent.holds(ID2, recent.keep_us + 1)
-    recent.add(ID, 10 * recent.keep_us)
+    assert len(recent) == 2 and not recent.contains(ID, 3)
+    assert recent.contains(ID2, recent.retention_us) and not recent.contains(ID2, recent.retention_us + 1)
+    recent.add(ID, 10 * recent.retention_us)
     assert len(recent) == 1
     world.end()
--- a/tests/test_downstream_room.py
+++ b/tests/test_downstream_room.py
@@ -62,9 +62,9 @@
     connection = world.connection(client)
     world.pass_us(idle_us(world, asked) - 1)
     client.send(request(ID)[:HALF])
-    world.until(lambda: connection.half_read)
+    world.until(lambda: connection.has_partial_message)
     world.pass_us(world.limits.client_silent_us - 1)
-    assert connection.open
+    assert connection.is_open
     client.send(request(ID)[HALF:-1])
     world.until(lambda: connection.bytes_read >= len(request(ID)) - 1)
     world.pass_us(1)  # its first byte is the measure: an endless one in small pieces holds nothing longer
@@ -76,7 +76,7 @@
     client = world.client()
     connection = world.connection(client)
     client.send(request(ID)[:HALF])
-    world.until(lambda: connection.half_read)
+    world.until(lambda: connection.has_partial_message)
     client.send(request(ID)[HALF:])
     world.arrived(connection)
     world.pass_us(2 * world.limits.client_silent_us)
@@ -89,7 +89,7 @@
     if asked:
         client.sync()
     world.pass_us(idle_us(world, asked) - 1)
-    assert world.connection(client).open
+    assert world.connection(client).is_open
     world.pass_us(1)
     client.send(cancel(ID))  # crosses the close
     world.until(client.read)
@@ -133,21 +133,21 @@
     clients = [world.client(), world.client()]
     for client in clients:
         client.send(line("check", "t", reason=0) * asked + request(ID)[:HALF])
-        world.until(lambda client=client: world.connection(client).half_read)  # type: ignore[misc]
+        world.until(lambda client=client: world.connection(client).has_partial_message)  # type: ignore[misc]
     clients[1].send(request(ID)[HALF:])
     served(world, clients[1])
     world.pass_us(world.limits.client_young_us + 1)
     world.front.buildProtocol(None)
     clients[0].send(request(ID2)[HALF:])
     world.until(clients[1].read)
-    assert world.connection(clients[0]).open
+    assert world.connection(clients[0]).is_open
 
 
 def test_half_requests_lock_nobody_out(world: DownstreamWorld) -> None:
     for _ in range(LIMITS.client_connections):
         client = world.client()
         client.send(request(ID)[:HALF])
-        world.until(lambda client=client: world.connection(client).half_read)  # type: ignore[misc]
+        world.until(lambda client=client: world.connection(client).has_partial_message)  # type: ignore[misc]
     client = world.client()
     client.send(request(ID2))
     served(world, client, ID2)
@@ -179,7 +179,7 @@
     world.until(lambda: all(client.read() for client in flood))
     told = [client.told(uid) for client, uid in zip(flood, uids, strict=True)]
     assert told == [[("stop", 34)]] * 60 and {client.ended for client in flood} == {"end"}
-    assert len(world.front.connections) == 2 and not world.front.over_limit.connections
+    assert len(world.front.connections) == 2 and not world.front.over_limit_connections.connections
 
 
 def test_a_connection_past_the_limit_that_says_nothing_is_closed_soon(world: DownstreamWorld) -> None:
@@ -190,7 +190,7 @@
     assert not silent.read()
     world.pass_us(1)
     world.until(silent.read)
-    assert silent.ended == "end" and not world.front.over_limit.connections
+    assert silent.ended == "end" and not world.front.over_limit_connections.connections
 
 
 # Floods and nonsense.
@@ -219,11 +219,11 @@
     world.waiting(other, ID)
     connection = world.connection(client)
     sent = 0
-    while connection.open:
+    while connection.is_open:
         client.send(b"x" * size)
         sent += size
         known = connection.bytes_read
-        world.until(lambda known=known: connection.bytes_read > known or not connection.open)  # type: ignore[misc]
+        world.until(lambda known=known: connection.bytes_read > known or not connection.is_open)  # type: ignore[misc]
     assert sent <= world.limits.line_bytes + 2 * size
     assert world.counters["client.dropped.overlong_line"] == 1
     world.stands(ID)
@@ -252,9 +252,9 @@
     ref = world.waiting(other, ID2)
     connection = world.connection(client)
     while not connection.transport.producerPaused:
-        connection.say({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
+        connection.send({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
     client.send(line("check", "t", reason=0) * (LIMITS.client_backlog + 1))
-    world.until(lambda: not connection.open)
+    world.until(lambda: not connection.is_open)
     assert world.counters["client.stalled"] == 1 and world.core.by_uid.keys() == {ID2}
     assert world.front.still_waiting(ref)
 
@@ -271,7 +271,7 @@
         world.until(client.read)
         assert client.told(uid) == [("stop", 41)] and client.ended == "end"
     world.until(late.read)
-    assert late.ended == "end" and world.front.unclosed, "they linger until the clients have closed"
+    assert late.ended == "end" and world.front.open_transports, "they linger until the clients have closed"
     for client in (*clients, late):
         client.close()
-    world.until(lambda: not world.front.unclosed)
+    world.until(lambda: not world.front.open_transports)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,7 +21,7 @@
 from bitternbeam.decision.interface import ListKind, SwitchEntry, SwitchState
 from bitternbeam.limits import Limits
 from bitternbeam.net.connect import connect, listen
-from bitternbeam.net.platform.back import Place, PlatformBack
+from bitternbeam.net.platform.back import BookerEndpoint, PlatformBack
 from bitternbeam.net.platform.front import PlatformFront
 from tests.loop import parts, pause, reactor, until
 from tests.world import SETTINGS
@@ -83,7 +83,7 @@
         listen(reactor, "127.0.0.1", 0, self.front).addCallback(self.ports.append)
         at = self.ports[0].getHost().port
         self.core.listed(ListKind.CACHED, [SwitchEntry("s0", 0, SwitchState.READY)])
-        self.back.listed([Place("s0", "127.0.0.1", at, SwitchState.READY, 0)], True)
+        self.back.update_endpoints([BookerEndpoint("s0", "127.0.0.1", at, SwitchState.READY, 0)], True)
         self.caller = self.dial()
         until(lambda: self.bookers)
 
@@ -483,7 +483,7 @@
 ) -> None:
     # Two hundred restarted controllers called each draining booker twice a second for nothing.
     at = stage.ports[0].getHost().port
-    stage.back.listed([Place("s0", "127.0.0.1", at, state, 0)], False)
+    stage.back.update_endpoints([BookerEndpoint("s0", "127.0.0.1", at, state, 0)], False)
     stage.ports[0].stopListening()
     stage.bookers[0].transport.abortConnection()
     until(lambda: stage.counters["booker.no_connection"] > 0)
@@ -491,7 +491,7 @@
     assert (stage.counters["booker.no_connection"] > 1) is (state is SwitchState.READY)
     factory = stage.ports[0].factory
     listen(reactor, "127.0.0.1", at, factory).addCallback(lambda port: stage.ports.__setitem__(0, port))
-    stage.back.listed([Place("s0", "127.0.0.1", at, SwitchState.READY, 0)], False)
+    stage.back.update_endpoints([BookerEndpoint("s0", "127.0.0.1", at, SwitchState.READY, 0)], False)
     until(lambda: len(stage.bookers) > 1)
 
 
@@ -572,7 +572,7 @@
 
         def tell(state: SwitchState, name: str = name, cell: int = number) -> None:
             stage.core.listed(ListKind.CHANGES, [SwitchEntry(name, cell, state)])
-            stage.back.listed([Place(name, "127.0.0.1", port, state, 0)], False)
+            stage.back.update_endpoints([BookerEndpoint(name, "127.0.0.1", port, state, 0)], False)
 
         tell(SwitchState.READY)
         stage.ask(caller, uid, extras=f"dest:{number};width:1;via:-1")
@@ -587,8 +587,8 @@
     assert stage.module.stood_in == dict.fromkeys(range(1, 6), 1)
     until(lambda: len(stage.back.pools) == 1 and len(stage.front.connections) == 1)
     until(lambda: not stage.module.stood_in)  # it looks once an interval
-    assert not stage.back.legs and not stage.core.calls and not stage.core.by_uid
-    assert len(stage.front.requests) == 0 and not stage.front.idle.resting
+    assert not stage.back.requests and not stage.core.calls and not stage.core.by_uid
+    assert len(stage.front.requests) == 0 and not stage.front.idle_connections.idle
     assert not any(stage.front.requests.find(f"{number:016x}") for number in range(1, 6))
     assert not stage.module.calls and not stage.module.waiting and list(stage.core.listed_as) == ["s0"]
     assert list(stage.module.switches) == ["s0"] and not stage.module.first_tries.keys() - {"n"}
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -200,7 +200,7 @@
     whole = request()
     client.write(whole[:-1])
     connection = next(process.part.front.connections.values())
-    until(lambda: connection.half_read)
+    until(lambda: connection.has_partial_message)
     process.life.terminate()
     process.clock.advance(1_500 * MS)
     assert process.phase() is Phase.ANSWERING
@@ -214,7 +214,7 @@
     client = process.dial()
     client.write(check() + request()[:-1])
     connection = next(process.part.front.connections.values())
-    until(lambda: connection.half_read)
+    until(lambda: connection.has_partial_message)
     process.life.terminate()
     process.clock.advance(3_299 * MS)
     assert process.phase() is Phase.ANSWERING
--- a/tests/test_upstream_descriptors.py
+++ b/tests/test_upstream_descriptors.py
@@ -15,7 +15,7 @@
 from bitternbeam.decision.interface import Outcome, SwitchState
 from bitternbeam.limits import Limits
 from bitternbeam.net.connect import listen
-from bitternbeam.net.platform.back import Place, PlatformBack
+from bitternbeam.net.platform.back import BookerEndpoint, PlatformBack
 from tests.hand_clock import HandClock
 from tests.loop import pause, reactor, until
 from tests.test_platform import ID, Peer
@@ -64,11 +64,11 @@
             factory.buildProtocol = lambda _addr, mine=peers: mine.append(Peer()) or mine[-1]
             listen(reactor, "127.0.0.1", 0, factory).addCallback(self.ports.append)
 
-    def place(self, number: int, state: SwitchState = SwitchState.READY) -> Place:
-        return Place(f"s{number}", "127.0.0.1", self.ports[number].getHost().port, state, 0)
+    def place(self, number: int, state: SwitchState = SwitchState.READY) -> BookerEndpoint:
+        return BookerEndpoint(f"s{number}", "127.0.0.1", self.ports[number].getHost().port, state, 0)
 
     def list_all(self) -> None:
-        self.back.listed([self.place(number) for number in range(3)], True)
+        self.back.update_endpoints([self.place(number) for number in range(3)], True)
 
     def set_up(self, uid: str, server: int) -> None:
         offer = Offer(uid, "low", 0, 3_000_000, self.clock.now_us(), "n", "v=0")
@@ -99,21 +99,21 @@
     for _ in range(10):
         rig.clock.advance(rig.limits.booker_retry_us)
         pause(0.005)
-        assert rig.back.descriptors.held == 2 and rig.open() == [1, 1, 0]
+        assert rig.back.descriptor_quota.in_use == 2 and rig.open() == [1, 1, 0]
     assert rig.counters["booker.no_descriptor"] >= 10
 
 
 def test_a_connection_that_closes_makes_room_for_another_server(rig: Rig) -> None:
     rig.list_all()
     until(lambda: rig.open() == [1, 1, 0])
-    rig.back.listed([rig.place(0, SwitchState.GONE)], False)
+    rig.back.update_endpoints([rig.place(0, SwitchState.GONE)], False)
     rig.clock.advance(rig.limits.booker_lost_us)
-    until(lambda: rig.back.descriptors.held == 1)
+    until(lambda: rig.back.descriptor_quota.in_use == 1)
     rig.clock.advance(rig.limits.booker_retry_us)
     until(lambda: rig.open() == [0, 1, 1])
-    assert rig.back.descriptors.held == 2
+    assert rig.back.descriptor_quota.in_use == 2
     rig.close()
-    assert rig.back.descriptors.held == 0
+    assert rig.back.descriptor_quota.in_use == 0
 
 
 def test_one_server_gets_no_more_than_its_part() -> None:
--- a/tests/test_waiting_attempts.py
+++ b/tests/test_waiting_attempts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from bitternbeam.decision.interface import ListKind, SwitchEntry, SwitchState
-from bitternbeam.net.platform.back import Place
+from bitternbeam.net.platform.back import BookerEndpoint
 from tests.held_connects import HeldConnects
 from tests.loop import pause, reactor, until
 from tests.test_platform import ID, Peer, Stage
@@ -29,7 +29,7 @@
     def wait(self, **odd: str) -> None:
         """Send a request that then waits."""
         self.ask(self.caller, ID, **odd)
-        until(lambda: self.back.legs)
+        until(lambda: self.back.requests)
         assert not self.at(ID)
 
     def tell(
@@ -38,8 +38,8 @@
         """Bring news of the server's state, start or address."""
         self.core.listed(ListKind.CHANGES, [SwitchEntry("s0", 0, state, started_us)])
         if not only_core:
-            place = Place("s0", "127.0.0.1", port or self.address, state, started_us)
-            self.back.listed([place], False)
+            place = BookerEndpoint("s0", "127.0.0.1", port or self.address, state, started_us)
+            self.back.update_endpoints([place], False)
 
     def second_server(self) -> list[Peer]:
         """List one more server, which can be reached at once."""
@@ -50,7 +50,7 @@
         self.ports.append(port)
         held, self.connects.waiting = self.connects.waiting, []
         self.core.listed(ListKind.CHANGES, [SwitchEntry("s1", 1, READY)])
-        self.back.listed([Place("s1", "127.0.0.1", port.getHost().port, READY, 0)], False)
+        self.back.update_endpoints([BookerEndpoint("s1", "127.0.0.1", port.getHost().port, READY, 0)], False)
         self.connects.open()
         self.connects.waiting = held
         until(lambda: peers and self.back.pools["s1"].connections)
@@ -137,7 +137,7 @@
     stage.front.still_waiting = lambda ref: False  # type: ignore[method-assign]
     stage.nothing_is_written()
     assert stage.counters["sends.stale.client_left"] == 1
-    assert not stage.core.calls and not stage.module.calls and not stage.back.legs
+    assert not stage.core.calls and not stage.module.calls and not stage.back.requests
 
 
 def test_a_client_that_cancels_while_its_request_waits_is_not_sent_on(stage: Waiting) -> None:
@@ -159,7 +159,7 @@
     stage: Waiting,
 ) -> None:
     stage.wait(left="400")
-    (leg,) = stage.back.legs.values()
+    (leg,) = stage.back.requests.values()
     while stage.core.clock.now_us() < stage.core.by_uid[ID].end_us:
         pass
     assert not stage.core.may_write(leg.attempt)  # its timer is due, and has not had its turn
