--- a/benchmarks/fleet/solving.py
+++ b/benchmarks/fleet/solving.py
@@ -19,7 +19,7 @@
 from bitternbeam.fleet.budgets.grants import Granting
 from bitternbeam.fleet.budgets.holdings import Holdings
 from bitternbeam.fleet.budgets.terms import Budget, BudgetTerms, Kind, Part, Tenant, faults
-from bitternbeam.fleet.limits.terms import Times
+from bitternbeam.fleet.limits.terms import LimitTimes
 from bitternbeam.fleet.record import Publication, Write, parse_record
 from bitternbeam.fleet.tokens import Token
 
@@ -104,7 +104,7 @@
     random, clock = Random(seed), Clock()
     made, budgets = world(tenants, bookers, random)
     names = [one.booker for one in budgets]
-    pairs, times, now = PairTerms(members, 20_000, 2_000), Times(S, 10 * S), 1_000 * S
+    pairs, times, now = PairTerms(members, 20_000, 2_000), LimitTimes(S, 10 * S), 1_000 * S
     fleet = [Holdings(pairs, times, f"m{one:02}", 1, now) for one in range(members)]
     owner, token = Granting(pairs, times, "m00", 1, BudgetTerms()), Token(1, "m00")
     owner.owns(token, None, now)
--- a/bitternbeam/configuration/limits.py
+++ b/bitternbeam/configuration/limits.py
@@ -9,7 +9,7 @@
 
 from bitternbeam.configuration.faults import Fault
 from bitternbeam.configuration.schema import Entry, Text
-from bitternbeam.fleet.limits.terms import AMOUNT_MOST, Limit, check
+from bitternbeam.fleet.limits.terms import MAX_AMOUNT, Limit, check_limits
 
 Scope = Annotated[tuple[Text, ...], Meta(max_length=4096)]
 
@@ -19,7 +19,7 @@
 
     name: Annotated[Text, Meta(description="unique; limit/NAME is its piece of work")]
     kind: Annotated[Literal["rate", "held"], Meta(description="a second, or at once")]
-    amount: Annotated[float, Meta(gt=0, le=AMOUNT_MOST, description="of all members together")]
+    amount: Annotated[float, Meta(gt=0, le=MAX_AMOUNT, description="of all members together")]
     safe: Annotated[float, Meta(ge=0, le=1, description="share kept as safe parts")] = 0.05
     most: Annotated[int, Meta(ge=1, le=10_000, description="members that the safe parts are for")] = 64
     lasts_ms: Annotated[int, Meta(ge=1, le=3_600_000, description="life of a grant")] = 20_000
@@ -37,5 +37,5 @@
 
 def limit_faults(tables: Sequence[LimitTable], period_ms: int, ttl_ms: int) -> list[Fault]:
     """Return what in the tables cannot work, each naming its key."""
-    found = check(limits_of(tables), period_ms, ttl_ms)
+    found = check_limits(limits_of(tables), period_ms, ttl_ms)
     return [Fault(f"fleet.limit[{index}].{key}", what) for index, key, what in found]
--- a/bitternbeam/configuration/verdicts.py
+++ b/bitternbeam/configuration/verdicts.py
@@ -11,8 +11,8 @@
 from bitternbeam.configuration.limits import LimitTable
 from bitternbeam.configuration.schema import Entry
 from bitternbeam.configuration.tenants import TenantTable
-from bitternbeam.fleet.verdicts.seen import Told
-from bitternbeam.fleet.verdicts.settings import Terms, faults
+from bitternbeam.fleet.verdicts.observations import SubjectKey
+from bitternbeam.fleet.verdicts.settings import VerdictSettings, find_faults
 
 Millis = Annotated[int, Meta(ge=1, le=604_800_000)]
 Share = Annotated[float, Meta(gt=0, le=1)]
@@ -44,14 +44,14 @@
     bad_ms: Annotated[Millis, Meta(description="a version rolled back is not taken for")] = 86_400_000
 
 
-def terms_of(table: VerdictTable, period_ms: int) -> Terms:
+def terms_of(table: VerdictTable, period_ms: int) -> VerdictSettings:
     """Return the terms that a table tells."""
-    return Terms(**structs.asdict(table), period_ms=period_ms)
+    return VerdictSettings(**structs.asdict(table), period_ms=period_ms)
 
 
-def judged_limits(limits: Sequence[LimitTable]) -> dict[Told, float]:
+def judged_limits(limits: Sequence[LimitTable]) -> dict[SubjectKey, float]:
     """Return the least amount a second that a limit of kind rate has for each tenant and caller it names."""
-    found: dict[Told, float] = {}
+    found: dict[SubjectKey, float] = {}
     for limit in limits:
         if limit.kind == "rate":
             for kind, names in (("tenant", limit.tenants), ("caller", limit.callers)):
@@ -73,4 +73,6 @@
     ]
     if table is None:
         return found
-    return found + [Fault(f"fleet.verdicts.{key}", what) for key, what in faults(terms_of(table, period_ms))]
+    return found + [
+        Fault(f"fleet.verdicts.{key}", what) for key, what in find_faults(terms_of(table, period_ms))
+    ]
--- a/bitternbeam/fleet/budgets/granted.py
+++ b/bitternbeam/fleet/budgets/granted.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from bitternbeam.fleet.budgets.placing import Pair
-from bitternbeam.fleet.limits.grants import Grants, Row
-from bitternbeam.fleet.limits.need import Need, count, need_of, size
+from bitternbeam.fleet.limits.grants import GrantRow, Grants
+from bitternbeam.fleet.limits.need import Need, is_amount, is_count, parse_need
 from bitternbeam.fleet.limits.terms import Limit
 
 
@@ -71,7 +71,7 @@
 
     def grants(self, limit: Limit, member: str, pair: Pair) -> Grants:
         """Return one pair's grants, as far as this member goes."""
-        rows = {member: Row(self.extras.get(pair, 0.0), *self.answers)} if self.answers else {}
+        rows = {member: GrantRow(self.extras.get(pair, 0.0), *self.answers)} if self.answers else {}
         return Grants(limit.name, self.reign, self.rev, 0.0, self.lasts_us, rows)
 
 
@@ -81,16 +81,16 @@
         return None
     reign, rev, lasts_us = value.get("reign"), value.get("rev"), value.get("lasts_us")
     members, pairs = value.get("members"), value.get("pairs")
-    if not isinstance(reign, str) or not 0 < len(reign) <= 128 or type(rev) is not int or not count(rev):
+    if not isinstance(reign, str) or not 0 < len(reign) <= 128 or type(rev) is not int or not is_count(rev):
         return None
-    if type(lasts_us) is not int or not count(lasts_us):
+    if type(lasts_us) is not int or not is_count(lasts_us):
         return None
     if not isinstance(members, dict) or not isinstance(pairs, list):
         return None
     mine = members.get(member)
     if mine is None:
         return Told(reign, rev, lasts_us, None, {})
-    if not isinstance(mine, list) or len(mine) != 3 or not count(mine[0]) or not count(mine[1]):
+    if not isinstance(mine, list) or len(mine) != 3 or not is_count(mine[0]) or not is_count(mine[1]):
         return None
     cells = mine[2]
     if not isinstance(cells, list) or len(cells) % 2:
@@ -98,7 +98,7 @@
     extras: dict[Pair, float] = {}
     for at, extra in zip(cells[::2], cells[1::2], strict=True):
         pair = pairs[at] if type(at) is int and 0 <= at < len(pairs) else None
-        if not isinstance(pair, list) or len(pair) != 2 or not size(extra):
+        if not isinstance(pair, list) or len(pair) != 2 or not is_amount(extra):
             return None
         if not isinstance(pair[0], str) or not isinstance(pair[1], str):
             return None
@@ -126,8 +126,8 @@
     number, place, rows, wants = (part.get(key) for key in ("number", "place", "needs", "wants"))
     if not isinstance(number, list) or not isinstance(place, list) or not isinstance(rows, list):
         return None
-    head = need_of(member, [*number, 0.0, 0, 0.0, part.get("settled"), *place])
-    if head is None or not isinstance(wants, dict) or not all(map(size, wants.values())):
+    head = parse_need(member, [*number, 0.0, 0, 0.0, part.get("settled"), *place])
+    if head is None or not isinstance(wants, dict) or not all(map(is_amount, wants.values())):
         return None
     try:
         read = msgspec.convert(rows, list[Has])
--- a/bitternbeam/fleet/budgets/grants.py
+++ b/bitternbeam/fleet/budgets/grants.py
@@ -26,7 +26,7 @@
 from bitternbeam.fleet.budgets.terms import Budget, BudgetTerms, Kind, Tenant
 from bitternbeam.fleet.budgets.usage import demands_of
 from bitternbeam.fleet.limits.ledger import Ledger
-from bitternbeam.fleet.limits.terms import Times
+from bitternbeam.fleet.limits.terms import LimitTimes
 from bitternbeam.fleet.tokens import Token
 
 PIECES = 2_000  # counted pieces of a slice (slices.Meter): most are a look-up and an addition
@@ -37,7 +37,7 @@
 class Granting:
     """The owner's side: reports in, the keeper's decision, every pair's grants out, in slices."""
 
-    def __init__(self, pairs: PairTerms, times: Times, me: str, boot: int, terms: BudgetTerms) -> None:
+    def __init__(self, pairs: PairTerms, times: LimitTimes, me: str, boot: int, terms: BudgetTerms) -> None:
         self.pairs, self.times, self.me, self.boot = pairs, times, me, boot
         self.terms = terms
         self.waits = Waits.of(pairs, times)
@@ -83,7 +83,7 @@
 
     def outranked(self) -> Token | None:
         """Return a token that some member stands by and this one must pass."""
-        return None if self.head is None else self.head.outranked
+        return None if self.head is None else self.head.higher_token
 
     def _reported(self, parts: Mapping[str, Any], now_us: int) -> Generator[None, None, None]:
         for member, part in parts.items():
@@ -97,13 +97,13 @@
             for kind, rows in demands.items():
                 self.keeper.report(member, kind, rows, now_us)
             # Danger: a report that is older than one already taken tells of what is out no more.
-            if not self.head.need(report.head, now_us):
+            if not self.head.apply_need(report.head, now_us):
                 continue
             self.reports[member] = (now_us, report)
-            mine = report.head.token == self.token and report.head.reign == self.reign
+            mine = report.head.token == self.token and report.head.owner_term == self.reign
             # Danger: one that stood by this reign and was started anew has lost its memory since.
             if mine or member in self.standing:
-                self.standing[member] = report.head.settled
+                self.standing[member] = report.head.holdings_known
             ledger = self.ledgers.get(member)
             if ledger is None:
                 ledger = self.ledgers[member] = MemberLedger(self.waits, report.head.boot, now_us)
--- a/bitternbeam/fleet/budgets/holdings.py
+++ b/bitternbeam/fleet/budgets/holdings.py
@@ -8,46 +8,46 @@
 from bitternbeam.fleet.budgets.placing import Pair
 from bitternbeam.fleet.budgets.terms import Kind
 from bitternbeam.fleet.budgets.usage import Usage, Wants
-from bitternbeam.fleet.limits.holding import Holding, Place
-from bitternbeam.fleet.limits.terms import Times
+from bitternbeam.fleet.limits.local_limit import LocalLimit, RecordPosition
+from bitternbeam.fleet.limits.terms import LimitTimes
 from bitternbeam.fleet.tokens import Token
 
 
 class Holdings:
     """One Holding for each (tenant, booker) that was granted or is held; they share the reports' numbers."""
 
-    def __init__(self, pairs: PairTerms, times: Times, member: str, boot: int, now_us: int) -> None:
+    def __init__(self, pairs: PairTerms, times: LimitTimes, member: str, boot: int, now_us: int) -> None:
         self.pairs, self.times, self.member, self.boot = pairs, times, member, boot
         self.began_us = now_us
-        self.kept: dict[Pair, Holding] = {}
+        self.kept: dict[Pair, LocalLimit] = {}
         self.usage = Usage()
         self.refusals = 0
         self.malformed = 0
         self.wants = Wants()
-        self.place: Place | None = None
+        self.place: RecordPosition | None = None
         self.seq = 0
         self.sent: dict[int, int] = {}  # number of a report -> when it was sent
-        self.settled_us = self._of(("", "")).settled_us
+        self.settled_us = self._of(("", "")).holdings_known_us
 
-    def _of(self, pair: Pair) -> Holding:
+    def _of(self, pair: Pair) -> LocalLimit:
         one = self.kept.get(pair)
         if one is None:
-            one = Holding(self.pairs.limit(pair), self.times, self.member, self.boot, self.began_us)
+            one = LocalLimit(self.pairs.limit(pair), self.times, self.member, self.boot, self.began_us)
             # Danger: one that was dropped and is made anew must take no record before the one it stood by.
-            one.place, one.sent = self.place, self.sent
+            one.position, one.need_times_us = self.place, self.sent
             self.kept[pair] = one
         return one
 
     def room(self, tenant: str, booker: str, now_us: int) -> bool:
         """Whether a call may go there now."""
         one = self.kept.get((tenant, booker))
-        return one is not None and one.free(now_us)
+        return one is not None and one.has_room(now_us)
 
     def take(self, tenant: str, booker: str, now_us: int) -> bool:
         """Take one if it may be taken."""
         if not self.room(tenant, booker, now_us):
             return False
-        self.kept[tenant, booker].take()
+        self.kept[tenant, booker].acquire()
         self.wants.came(tenant)
         self.usage.opened(tenant, booker)
         return True
@@ -81,9 +81,9 @@
         taken = False
         for pair in found.extras.keys() | self.kept.keys():
             one = self._of(pair)
-            taken = one.granted(token, found.grants(one.limit, self.member, pair), now_us) or taken
+            taken = one.apply_grants(token, found.grants(one.limit, self.member, pair), now_us) or taken
         if taken:
-            self.place = Place(token, found.rev, found.reign)
+            self.place = RecordPosition(token, found.rev, found.reign)
         return taken
 
     def report(self, now_us: int) -> dict[str, Any]:
@@ -96,14 +96,14 @@
         rows: list[list[Any]] = []
         held: dict[str, int] = {}
         for pair, one in list(self.kept.items()):
-            extra = one.extra if now_us < one.until_us else 0.0
+            extra = one.extra if now_us < one.extra_expires_us else 0.0
             if one.held or extra:
                 rows.append([*pair, one.held, extra])
                 held[pair[0]] = held.get(pair[0], 0) + one.held
             elif pair[0]:
                 del self.kept[pair]
         at = self.place
-        place = ["", 0, ""] if at is None else [str(at.token), at.rev, at.reign]
+        place = ["", 0, ""] if at is None else [str(at.token), at.rev, at.owner_term]
         return {
             str(Kind.LINES): [one.row() for one in self.usage.report()],
             "number": [self.boot, self.seq], "place": place, "settled": now_us >= self.settled_us,
@@ -114,6 +114,6 @@
         """Return by tenant and booker what is held and what may be held here."""
         found: dict[str, Any] = {}
         for (tenant, booker), one in sorted(self.kept.items()):
-            if tenant and (one.held or one.may_use(now_us)):
-                found.setdefault(tenant, {})[booker] = [one.held, int(one.may_use(now_us))]
+            if tenant and (one.held or one.usable(now_us)):
+                found.setdefault(tenant, {})[booker] = [one.held, int(one.usable(now_us))]
         return found
--- a/bitternbeam/fleet/budgets/ledger.py
+++ b/bitternbeam/fleet/budgets/ledger.py
@@ -12,8 +12,8 @@
 
 from bitternbeam.fleet.budgets.granted import PairTerms, Report
 from bitternbeam.fleet.budgets.placing import Pair
-from bitternbeam.fleet.limits.account import guard_us
-from bitternbeam.fleet.limits.terms import Times, drift
+from bitternbeam.fleet.limits.account import grant_expiry_us
+from bitternbeam.fleet.limits.terms import LimitTimes, clock_drift_us
 
 Extras = Mapping[Pair, float]  # above 0
 ENTRIES = 6  # of one member; more are counted together
@@ -29,11 +29,16 @@
     overlap_us: int
 
     @classmethod
-    def of(cls, pairs: PairTerms, times: Times) -> Waits:
+    def of(cls, pairs: PairTerms, times: LimitTimes) -> Waits:
         """Return those of the pairs' limits."""
         limit = pairs.limit(("", ""))
-        linger = limit.linger_us
-        return cls(limit.lasts_us, guard_us(limit, times) + linger, linger + drift(linger), times.overlap_us)
+        linger = limit.max_use_us
+        return cls(
+            limit.grant_duration_us,
+            grant_expiry_us(limit, times) + linger,
+            linger + clock_drift_us(linger),
+            times.owner_overlap_us,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,8 +85,8 @@
         """Take a newer report; `mine`: it stands by a record of this reign."""
         head = report.head
         if head.boot > self.boot:
-            self._restarted(head.settled, now_us)
-        self.boot, self.seq, self.heard_us, self.settled = head.boot, head.seq, now_us, head.settled
+            self._restarted(head.holdings_known, now_us)
+        self.boot, self.seq, self.heard_us, self.settled = head.boot, head.seq, now_us, head.holdings_known
         self.held = {pair: held for pair, (held, _extra) in report.has.items() if held}
         if not mine:
             return
--- a/bitternbeam/fleet/limits/grants.py
+++ b/bitternbeam/fleet/limits/grants.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bitternbeam.fleet.limits.need import count, size
+from bitternbeam.fleet.limits.need import is_amount, is_count
 
-MEMBERS_MOST = 10_000
+MAX_MEMBERS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class GrantRow:
     """One member's extra and the need it answers."""
 
     extra: float
@@ -28,41 +28,41 @@
 class Grants:
     """One published state of a limit; `reign` is one owner's time in office, `rev` counts within it."""
 
-    limit: str
-    reign: str
+    limit_name: str
+    owner_term: str
     rev: int
-    part: float  # the safe part
-    lasts_us: int
-    rows: Mapping[str, Row]
+    safe_part: float  # the safe part
+    grant_duration_us: int
+    rows: Mapping[str, GrantRow]
 
-    def value(self) -> dict[str, Any]:
+    def to_record_value(self) -> dict[str, Any]:
         """Return it as a record carries it."""
         rows = {name: [row.extra, row.boot, row.seq] for name, row in sorted(self.rows.items())}
         return {
-            "limit": self.limit, "reign": self.reign, "rev": self.rev, "part": self.part,
-            "lasts_us": self.lasts_us, "rows": rows,
+            "limit": self.limit_name, "reign": self.owner_term, "rev": self.rev, "part": self.safe_part,
+            "lasts_us": self.grant_duration_us, "rows": rows,
         }  # fmt: skip
 
 
-KEYS = {"limit", "reign", "rev", "part", "lasts_us", "rows"}
+RECORD_KEYS = {"limit", "reign", "rev", "part", "lasts_us", "rows"}
 
 
-def grants_of(value: Any) -> Grants | None:
+def parse_grants(value: Any) -> Grants | None:
     """Read what is published; None for anything of another form."""
-    if not isinstance(value, dict) or set(value) != KEYS:
+    if not isinstance(value, dict) or set(value) != RECORD_KEYS:
         return None
     limit, reign, rows = value["limit"], value["reign"], value["rows"]
     if not isinstance(limit, str) or not isinstance(reign, str) or not 0 < len(reign) <= 128:
         return None
-    if not (count(value["rev"]) and size(value["part"]) and count(value["lasts_us"])):
+    if not (is_count(value["rev"]) and is_amount(value["part"]) and is_count(value["lasts_us"])):
         return None
-    if not isinstance(rows, dict) or len(rows) > MEMBERS_MOST:
+    if not isinstance(rows, dict) or len(rows) > MAX_MEMBERS:
         return None
     read = {}
     for name, row in rows.items():
         if not isinstance(row, list) or len(row) != 3:
             return None
-        if not (size(row[0]) and count(row[1]) and count(row[2])):
+        if not (is_amount(row[0]) and is_count(row[1]) and is_count(row[2])):
             return None
-        read[name] = Row(float(row[0]), row[1], row[2])
+        read[name] = GrantRow(float(row[0]), row[1], row[2])
     return Grants(limit, reign, value["rev"], float(value["part"]), value["lasts_us"], read)
--- a/bitternbeam/fleet/limits/need.py
+++ b/bitternbeam/fleet/limits/need.py
@@ -12,7 +12,7 @@
 
 from bitternbeam.fleet.tokens import Token, parse_token
 
-ROW = 9
+ROW_LENGTH = 9
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,36 +25,44 @@
     demand: float  # a second (rate) or at once (held), what was refused included
     held: int
     extra: float  # of its live grant as it was sent; 0: none
-    settled: bool  # it knows all that it holds; not so after a start that lost its memory
+    holdings_known: bool  # it knows all that it holds; not so after a start that lost its memory
     token: Token | None = None  # of the record it stands by: it takes none before that any more
     rev: int = 0
-    reign: str = ""
+    owner_term: str = ""
 
-    def row(self) -> list[Any]:
+    def to_row(self) -> list[Any]:
         """Return it as a report carries it (the report says whose it is)."""
         token = "" if self.token is None else str(self.token)
         return [
-            self.boot, self.seq, round(self.demand, 4), self.held, self.extra, self.settled, token, self.rev,
-            self.reign,
+            self.boot, self.seq, round(self.demand, 4), self.held, self.extra, self.holdings_known, token,
+            self.rev,
+            self.owner_term,
         ]  # fmt: skip
 
 
-def count(value: Any) -> bool:
+def is_count(value: Any) -> bool:
     """Whether it is a whole number from 0 up."""
     return type(value) is int and 0 <= value < 1 << 62
 
 
-def size(value: Any) -> bool:
+def is_amount(value: Any) -> bool:
     """Whether it is an amount."""
     return type(value) in (int, float) and 0 <= value <= 1e12
 
 
-def need_of(member: str, row: Any) -> Need | None:
+def parse_need(member: str, row: Any) -> Need | None:
     """Read a need; None for anything else."""
-    if not isinstance(row, list) or len(row) != ROW:
+    if not isinstance(row, list) or len(row) != ROW_LENGTH:
         return None
     boot, seq, demand, held, extra, settled, token, rev, reign = row
-    if not (count(boot) and count(seq) and size(demand) and count(held) and size(extra) and count(rev)):
+    if not (
+        is_count(boot)
+        and is_count(seq)
+        and is_amount(demand)
+        and is_count(held)
+        and is_amount(extra)
+        and is_count(rev)
+    ):
         return None
     if (
         type(settled) is not bool
--- a/bitternbeam/fleet/limits/sharing.py
+++ b/bitternbeam/fleet/limits/sharing.py
@@ -14,10 +14,10 @@
 
 Sharing = Callable[[Mapping[str, float], float], dict[str, float]]
 
-LENT = 0.5  # of what nobody wants
-EVEN = 0.5  # of what is lent
-FLOOD = 10.0  # more than so many times what the middle member wants does not count
-LEAST = 1e-9
+LENT_SHARE = 0.5  # of what nobody wants
+EVENLY_LENT_SHARE = 0.5  # of what is lent
+MAX_MEDIAN_MULTIPLE = 10.0  # more than so many times what the middle member wants does not count
+MIN_WEIGHT = 1e-9
 
 
 def water_fill(
@@ -27,28 +27,28 @@
     given: dict[str, float] = {}
     left = max(0.0, amount)
     weighs = weights or dict.fromkeys(wants, 1.0)
-    ordered = sorted(wants, key=lambda name: (wants[name] / max(weighs[name], LEAST), name))
-    heavy = sum(max(weighs[name], LEAST) for name in ordered)
+    ordered = sorted(wants, key=lambda name: (wants[name] / max(weighs[name], MIN_WEIGHT), name))
+    heavy = sum(max(weighs[name], MIN_WEIGHT) for name in ordered)
     for name in ordered:
-        weight = max(weighs[name], LEAST)
-        given[name] = max(0.0, min(wants[name], left * min(1.0, weight / max(heavy, LEAST))))
+        weight = max(weighs[name], MIN_WEIGHT)
+        given[name] = max(0.0, min(wants[name], left * min(1.0, weight / max(heavy, MIN_WEIGHT))))
         left, heavy = max(0.0, left - given[name]), heavy - weight
     return given
 
 
-def counted(wants: Mapping[str, float], amount: float) -> dict[str, float]:
+def capped_weights(wants: Mapping[str, float], amount: float) -> dict[str, float]:
     """Return the weights of a rate: the wants, each up to FLOOD times the middle one or an even part.
 
     Danger: callers that flood one member would else take all from those at the others.
     """
     middle = sorted(wants.values())[len(wants) // 2] if wants else 0.0
-    most = max(FLOOD * middle, amount / max(1, len(wants)))
+    most = max(MAX_MEDIAN_MULTIPLE * middle, amount / max(1, len(wants)))
     return {name: min(want, most) for name, want in wants.items()}
 
 
 def share_rate(wants: Mapping[str, float], amount: float) -> dict[str, float]:
     """Return each member's part of a rate: by what it wants, and head-room of what is left."""
-    return share(wants, amount, counted(wants, amount))
+    return share(wants, amount, capped_weights(wants, amount))
 
 
 def share(
@@ -56,15 +56,15 @@
 ) -> dict[str, float]:
     """Return each member's part: its fair one, and head-room of what is left."""
     given = water_fill(wants, amount, weights)
-    lent = max(0.0, amount - sum(given.values())) * LENT
+    lent = max(0.0, amount - sum(given.values())) * LENT_SHARE
     total = sum(wants.values())
     for name in given:
         by_demand = wants[name] / total if total > 0 else 1 / len(given)
-        given[name] += lent * (EVEN / len(given) + (1 - EVEN) * by_demand)
+        given[name] += lent * (EVENLY_LENT_SHARE / len(given) + (1 - EVENLY_LENT_SHARE) * by_demand)
     return given
 
 
-def whole(parts: Mapping[str, float], amount: float) -> dict[str, float]:
+def round_to_whole(parts: Mapping[str, float], amount: float) -> dict[str, float]:
     """Return the parts as whole numbers, summing to at most the amount: largest remainders first."""
     given = {name: float(int(part + 1e-9)) for name, part in parts.items()}
     left = int(min(amount, sum(parts.values())) + 1e-9) - sum(given.values())
--- a/bitternbeam/fleet/limits/window.py
+++ b/bitternbeam/fleet/limits/window.py
@@ -9,43 +9,43 @@
 
 from collections import deque
 
-from bitternbeam.fleet.limits.terms import SPELL_US, STANDS_US
+from bitternbeam.fleet.limits.terms import BURST_SPAN_US, SEND_LIFETIME_US
 
 
-class Window:
+class SendWindow:
     """The sends that stand, by the member's monotonic clock."""
 
     def __init__(self, now_us: int) -> None:
         self.sent: deque[int] = deque()
-        self.last_us = now_us  # of the last send; as it starts, now: an earlier start may have sent
+        self.last_send_us = now_us  # of the last send; as it starts, now: an earlier start may have sent
 
     def add(self, now_us: int, n: int) -> None:
         """Note n sends."""
         self.sent.extend([now_us] * n)
-        self.last_us = now_us
+        self.last_send_us = now_us
 
-    def over(self, now_us: int) -> int:
+    def expire(self, now_us: int) -> int:
         """Return how many stand no more since this was asked last."""
         gone = 0
-        while self.sent and now_us - self.sent[0] >= STANDS_US:
+        while self.sent and now_us - self.sent[0] >= SEND_LIFETIME_US:
             self.sent.popleft()
             gone += 1
         return gone
 
-    def most(self, part: float, whole: bool, now_us: int) -> int:
+    def capacity(self, part: float, is_whole: bool, now_us: int) -> int:
         """Return how many may stand at once, for a part of so many a second.
 
         `whole`: the part was dealt out in whole numbers. A safe part under one is used by single sends that
         far apart: it fails open, and the bound names those sends (bound.single).
         """
-        if whole or part >= 1:
+        if is_whole or part >= 1:
             return int(part + 1e-6)
-        return int(part > 0 and (now_us - self.last_us) * part >= STANDS_US)
+        return int(part > 0 and (now_us - self.last_send_us) * part >= SEND_LIFETIME_US)
 
-    def paced(self, most: int, now_us: int) -> bool:
+    def allows_send(self, capacity: int, now_us: int) -> bool:
         """Whether no more than a quarter of what may stand was sent within SPELL_US.
 
         Danger: calls that come without end would else be sent all at once, each second anew.
         """
-        quarter = -(-most // 4)
-        return len(self.sent) < quarter or now_us - self.sent[-quarter] >= SPELL_US
+        quarter = -(-capacity // 4)
+        return len(self.sent) < quarter or now_us - self.sent[-quarter] >= BURST_SPAN_US
--- a/bitternbeam/fleet/verdicts/judges.py
+++ b/bitternbeam/fleet/verdicts/detectors.py
@@ -17,105 +17,115 @@
 
 from bitternbeam.fleet.verdicts.board import VerdictBoard
 from bitternbeam.fleet.verdicts.kinds import KINDS
-from bitternbeam.fleet.verdicts.seen import Report, Told
-from bitternbeam.fleet.verdicts.settings import Terms
+from bitternbeam.fleet.verdicts.observations import MemberReport, SubjectKey
+from bitternbeam.fleet.verdicts.settings import VerdictSettings
 
 
 @dataclass(frozen=True, slots=True)
-class Sentence:
+class Detection:
     """What a judge says; it becomes a verdict under its owner's token."""
 
     subject: str
     cause: str
-    lasts_ms: int
+    duration_ms: int
 
 
-def lasts_ms(terms: Terms, board: VerdictBoard, kind: str, subject: str, now_us: int) -> int:
+def next_duration_ms(
+    terms: VerdictSettings, board: VerdictBoard, kind: str, subject: str, now_us: int
+) -> int:
     """Return for how long a new verdict lasts: twice the last one's where that ended a short while ago."""
-    first_ms = terms.lasts_ms(kind)
-    had = board.held.get((kind, subject))
-    if had is None or had[0].lifts or now_us - had[1] > had[0].lasts_ms * 1000:
+    first_ms = terms.first_duration_ms(kind)
+    had = board.entries.get((kind, subject))
+    if had is None or had[0].is_lift or now_us - had[1] > had[0].duration_ms * 1000:
         return first_ms
-    return min(KINDS[kind].most_ms, max(first_ms, 2 * had[0].lasts_ms))
+    return min(KINDS[kind].max_duration_ms, max(first_ms, 2 * had[0].duration_ms))
 
 
-class BookerJudge:
+class BookerDetector:
     """Ejects bookers that do not answer."""
 
     kind = "booker"
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: VerdictSettings) -> None:
         self.terms = terms
 
-    def judge(
-        self, reports: Mapping[str, Report], board: VerdictBoard, known: Iterable[str], now_us: int
-    ) -> list[Sentence]:
+    def detect(
+        self,
+        reports: Mapping[str, MemberReport],
+        board: VerdictBoard,
+        known_bookers: Iterable[str],
+        now_us: int,
+    ) -> list[Detection]:
         """Return whom to eject now; `known` are the bookers that the fleet has."""
         terms = self.terms
         told = {name for one in reports.values() for name in one.bookers}
-        bookers = {*known, *told, *board.standing(self.kind, now_us)}
-        room = int(terms.eject_share * len(bookers)) - len(board.standing(self.kind, now_us))
+        bookers = {*known_bookers, *told, *board.active_by_subject(self.kind, now_us)}
+        room = int(terms.eject_share * len(bookers)) - len(board.active_by_subject(self.kind, now_us))
         bad = []
         for name in sorted(told):
             rows = [one.bookers[name] for one in reports.values() if name in one.bookers]
             sure = [row for row in rows if row[0] >= terms.least]
             failing = sum(late >= terms.fail_share * ended for ended, late in sure)
             enough = failing >= max(terms.members_least, terms.quorum * len(sure))
-            if enough and board.stands(self.kind, name, now_us) is None:
+            if enough and board.active(self.kind, name, now_us) is None:
                 bad.append((failing / len(sure), name, failing, len(sure)))
         bad.sort(reverse=True)
         return [
-            Sentence(
+            Detection(
                 name,
                 f"{failing} of {of} members get no answer in time",
-                lasts_ms(terms, board, self.kind, name, now_us),
+                next_duration_ms(terms, board, self.kind, name, now_us),
             )
             for _share, name, failing, of in bad[: max(0, room)]
         ]
 
 
-class DemandJudge:
+class DemandDetector:
     """Bars tenants, or callers, that ask for a multiple of their limit for long."""
 
-    def __init__(self, terms: Terms, kind: str, limits: Mapping[Told, float]) -> None:
+    def __init__(self, terms: VerdictSettings, kind: str, limits: Mapping[SubjectKey, float]) -> None:
         self.terms, self.kind = terms, kind
-        self.since_us: dict[str, int] = {}
-        self.take(limits)
+        self.over_since_us: dict[str, int] = {}
+        self.set_limits(limits)
 
-    def take(self, limits: Mapping[Told, float]) -> None:
+    def set_limits(self, limits: Mapping[SubjectKey, float]) -> None:
         """Take the limits as they are now."""
         self.limits = {name: amount for (of, name), amount in limits.items() if of == self.kind}
 
-    def judge(self, reports: Mapping[str, Report], board: VerdictBoard, now_us: int) -> list[Sentence]:
+    def detect(
+        self, reports: Mapping[str, MemberReport], board: VerdictBoard, now_us: int
+    ) -> list[Detection]:
         """Return whom to bar now."""
         terms, found = self.terms, []
         for name, amount in self.limits.items():
             wants = sum(one.demand.get((self.kind, name), 0.0) for one in reports.values())
-            over = wants >= terms.over_factor * amount and board.stands(self.kind, name, now_us) is None
+            over = wants >= terms.over_factor * amount and board.active(self.kind, name, now_us) is None
             if not over:
-                self.since_us.pop(name, None)
+                self.over_since_us.pop(name, None)
                 continue
-            since_us = self.since_us.setdefault(name, now_us)
+            since_us = self.over_since_us.setdefault(name, now_us)
             if now_us - since_us >= terms.over_ms * 1000:
                 cause = f"asks for {wants:.1f} a second, its limit is {amount:g}"
-                lasts = lasts_ms(terms, board, self.kind, name, now_us)
-                found.append(Sentence(name, cause, lasts))
+                lasts = next_duration_ms(terms, board, self.kind, name, now_us)
+                found.append(Detection(name, cause, lasts))
         return found
 
 
-class VersionJudge:
+class VersionDetector:
     """Marks versions that a member's probation turned back."""
 
     kind = "version"
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: VerdictSettings) -> None:
         self.terms = terms
 
-    def judge(self, reports: Mapping[str, Report], board: VerdictBoard, now_us: int) -> list[Sentence]:
+    def detect(
+        self, reports: Mapping[str, MemberReport], board: VerdictBoard, now_us: int
+    ) -> list[Detection]:
         """Return which contents are bad."""
-        told = {content: cause for one in reports.values() for content, cause in one.bad.items()}
+        told = {content: cause for one in reports.values() for content, cause in one.bad_versions.items()}
         return [
-            Sentence(content, cause, lasts_ms(self.terms, board, self.kind, content, now_us))
+            Detection(content, cause, next_duration_ms(self.terms, board, self.kind, content, now_us))
             for content, cause in sorted(told.items())
-            if board.stands(self.kind, content, now_us) is None
+            if board.active(self.kind, content, now_us) is None
         ]
--- a/bitternbeam/fleet/verdicts/kinds.py
+++ b/bitternbeam/fleet/verdicts/kinds.py
@@ -12,34 +12,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class VerdictKind:
     """One kind."""
 
     name: str
-    fails: str  # open or shut
-    why: str
-    most_ms: int  # no verdict lasts longer
+    failure_mode: str  # open or shut
+    reason: str
+    max_duration_ms: int  # no verdict lasts longer
 
 
 KINDS = {
     one.name: one
     for one in (
-        Kind(
+        VerdictKind(
             "booker", "open",
             "a member's own outcomes still bar a bad booker; shut, a cut would stop all calls",
             10 * 60_000,
         ),
-        Kind(
+        VerdictKind(
             "tenant", "open",
             "its calls stay within the safe parts of its limits; shut, a cut would turn away all who pay",
             24 * HOUR_MS,
         ),
-        Kind(
+        VerdictKind(
             "caller", "open",
             "one caller does little within the safe parts; shut, a cut would turn away every caller",
             24 * HOUR_MS,
         ),
-        Kind(
+        VerdictKind(
             "version", "shut",
             "the version that runs is good already: waiting harms nobody, a bad one harms every call",
             7 * 24 * HOUR_MS,
--- a/bitternbeam/fleet/verdicts/settings.py
+++ b/bitternbeam/fleet/verdicts/settings.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class VerdictSettings:
     """Terms of all judges; times in milliseconds."""
 
     kinds: tuple[str, ...] = tuple(KINDS)
@@ -26,19 +26,19 @@
     period_ms: int = 1_000
 
     @property
-    def turns(self) -> int:
+    def booker_periods(self) -> int:
         """Return how many periods a member's opinion of a booker covers."""
         return max(1, -(-self.judge_ms // self.period_ms))
 
-    def lasts_ms(self, kind: str) -> int:
+    def first_duration_ms(self, kind: str) -> int:
         """Return for how long a first verdict of a kind lasts."""
         return {"booker": self.eject_ms, "version": self.bad_ms}.get(kind, self.bar_ms)
 
 
-LASTS = {"eject_ms": ("booker",), "bar_ms": ("tenant", "caller"), "bad_ms": ("version",)}
+DURATION_KEYS = {"eject_ms": ("booker",), "bar_ms": ("tenant", "caller"), "bad_ms": ("version",)}
 
 
-def faults(terms: Terms) -> list[tuple[str, str]]:
+def find_faults(terms: VerdictSettings) -> list[tuple[str, str]]:
     """Return what cannot work, as (key, message)."""
     found = []
     if not terms.kinds:
@@ -53,8 +53,8 @@
             found.append(
                 (key, f"must be at least a period ({terms.period_ms} ms): reports come once a period")
             )
-    for key, kinds in LASTS.items():
-        most_ms = min(KINDS[kind].most_ms for kind in kinds)
+    for key, kinds in DURATION_KEYS.items():
+        most_ms = min(KINDS[kind].max_duration_ms for kind in kinds)
         if getattr(terms, key) > most_ms:
             found.append((key, f"no verdict on a {' or '.join(kinds)} lasts longer than {most_ms} ms"))
         if getattr(terms, key) <= 2 * terms.period_ms:
--- a/bitternbeam/fleet/verdicts/verdict.py
+++ b/bitternbeam/fleet/verdicts/verdict.py
@@ -13,9 +13,9 @@
 from bitternbeam.fleet.tokens import Token, parse_token
 from bitternbeam.fleet.verdicts.kinds import KINDS
 
-TEXT_MOST = 256
-VERDICTS_MOST = 2_000  # of one kind at once
-KEYS = {"kind", "rows"}
+MAX_TEXT_LENGTH = 256
+MAX_VERDICTS = 2_000  # of one kind at once
+RECORD_KEYS = {"kind", "rows"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,28 +26,30 @@
     subject: str
     cause: str
     token: Token
-    at_ms: int
-    lasts_ms: int
-    turn: int = 0
-    lifts: bool = False
+    issued_ms: int
+    duration_ms: int
+    sequence: int = 0
+    is_lift: bool = False
 
     @property
-    def order(self) -> tuple[int, str, int, int, int, bool, str]:
+    def precedence(self) -> tuple[int, str, int, int, int, bool, str]:
         """Return its place among those on the same subject: the highest holds, of equals the longer."""
         token = self.token
         return (
-            token.number, token.holder, self.turn, self.lasts_ms, self.at_ms, not self.lifts, self.cause
+            token.number, token.holder, self.sequence,
+            self.duration_ms, self.issued_ms, not self.is_lift, self.cause
         )  # fmt: skip
 
     @property
-    def ends_ms(self) -> int:
+    def expires_ms(self) -> int:
         """Return the Unix time of its expiry."""
-        return self.at_ms + self.lasts_ms
+        return self.issued_ms + self.duration_ms
 
-    def row(self) -> list[Any]:
+    def to_row(self) -> list[Any]:
         """Return it as a record carries it (the record says the kind)."""
         return [
-            self.subject, self.cause, str(self.token), self.at_ms, self.lasts_ms, self.turn, self.lifts
+            self.subject, self.cause, str(self.token),
+            self.issued_ms, self.duration_ms, self.sequence, self.is_lift
         ]  # fmt: skip
 
 
@@ -56,10 +58,10 @@
 
 
 def _text(value: Any) -> bool:
-    return isinstance(value, str) and 0 < len(value) <= TEXT_MOST
+    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH
 
 
-def verdict_of(kind: str, row: Any) -> Verdict | None:
+def parse_verdict(kind: str, row: Any) -> Verdict | None:
     """Read a verdict; None for anything else, or one that lasts longer than its kind may."""
     known = KINDS.get(kind)
     if known is None or not isinstance(row, list) or len(row) != 7:
@@ -70,17 +72,17 @@
     token = parse_token(told)
     if token is None or not (_count(at_ms) and _count(lasts_ms) and _count(turn)):
         return None
-    if not 0 < lasts_ms <= known.most_ms:
+    if not 0 < lasts_ms <= known.max_duration_ms:
         return None
     return Verdict(kind, subject, cause, token, at_ms, lasts_ms, turn, lifts)
 
 
-def verdicts_of(value: Any) -> list[Verdict] | None:
+def parse_verdicts(value: Any) -> list[Verdict] | None:
     """Read a record of one kind's verdicts; None if any of it is of another form."""
-    if not isinstance(value, dict) or set(value) != KEYS or not isinstance(value["rows"], list):
+    if not isinstance(value, dict) or set(value) != RECORD_KEYS or not isinstance(value["rows"], list):
         return None
     kind, rows = value["kind"], value["rows"]
-    if not isinstance(kind, str) or len(rows) > VERDICTS_MOST:
+    if not isinstance(kind, str) or len(rows) > MAX_VERDICTS:
         return None
-    read = [verdict_of(kind, row) for row in rows]
+    read = [parse_verdict(kind, row) for row in rows]
     return [one for one in read if one is not None] if all(one is not None for one in read) else None
--- a/bitternbeam/lab/limit_trial.py
+++ b/bitternbeam/lab/limit_trial.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from bitternbeam.fleet.limits.bound import over_held, over_window
-from bitternbeam.fleet.limits.terms import WINDOW_US, Limit
+from bitternbeam.fleet.limits.bound import held_excess, rate_excess
+from bitternbeam.fleet.limits.terms import RATE_WINDOW_US, Limit
 from bitternbeam.lab.called import Called
 from bitternbeam.lab.faults import FAULTS, Script
 from bitternbeam.lab.loads import WAYS_US, S, most_within, stood_us
@@ -87,10 +87,12 @@
     def last_over_us(self, lab: Called, since_us: int) -> int:
         """Return the end of the last window since then in which more was sent than is allowed now."""
         sends = arrivals(lab)
-        most = self.amount * WINDOW_US / S + over_window(self.limit, self.members, WINDOW_US, self.amount)
-        starts = range(since_us, lab.now_us() - WINDOW_US, WINDOW_US // 10)
-        over = [at for at in starts if sends.count(at, at + WINDOW_US - WAYS_US) > most]
-        return max(over) + WINDOW_US if over else since_us
+        most = self.amount * RATE_WINDOW_US / S + rate_excess(
+            self.limit, self.members, RATE_WINDOW_US, self.amount
+        )
+        starts = range(since_us, lab.now_us() - RATE_WINDOW_US, RATE_WINDOW_US // 10)
+        over = [at for at in starts if sends.count(at, at + RATE_WINDOW_US - WAYS_US) > most]
+        return max(over) + RATE_WINDOW_US if over else since_us
 
     def script(self, fault: str) -> Script:
         """Return a fault's script: the load goes on."""
@@ -99,19 +101,19 @@
     def judge(self, lab: Called, phase: Phase) -> dict[str, Any]:
         """Return the most that any window saw, and whether it was within the bound (fleet.limits.bound)."""
         if self.kind == "rate":
-            sends, at_most = arrivals(lab), self.amount * WINDOW_US / S
+            sends, at_most = arrivals(lab), self.amount * RATE_WINDOW_US / S
             ways_us = max(WAYS_US, stood_us(lab.lines(lab.booker_log), phase.hurt_us, phase.over_us))
-            most: float = most_within(sends, phase.hurt_us, phase.over_us, WINDOW_US)
+            most: float = most_within(sends, phase.hurt_us, phase.over_us, RATE_WINDOW_US)
             sure: float = most_within(
-                sends, phase.hurt_us, phase.over_us, WINDOW_US - min(ways_us, WINDOW_US // 2)
+                sends, phase.hurt_us, phase.over_us, RATE_WINDOW_US - min(ways_us, RATE_WINDOW_US // 2)
             )
             long = most_within(sends, phase.hurt_us, phase.over_us, LONG_US)
             over_long = long - self.amount * LONG_US / S
-            most_may = at_most + over_window(self.limit, self.members, WINDOW_US, self.amount)
+            most_may = at_most + rate_excess(self.limit, self.members, RATE_WINDOW_US, self.amount)
         else:
             most = sure = most_held(lab.lines(lab.booker_log), phase.hurt_us, phase.over_us)
             at_most, over_long, ways_us = self.amount, 0.0, 0
-            most_may = at_most + over_held(self.limit, self.members, self.amount)
+            most_may = at_most + held_excess(self.limit, self.members, self.amount)
         return {
             "most": round(most, 2),
             "bound": round(most_may, 2),
--- a/bitternbeam/lab/storm.py
+++ b/bitternbeam/lab/storm.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from bitternbeam.fleet.limits.bound import over_window
-from bitternbeam.fleet.limits.grants import grants_of
-from bitternbeam.fleet.limits.records import work_of
+from bitternbeam.fleet.limits.bound import rate_excess
+from bitternbeam.fleet.limits.grants import parse_grants
+from bitternbeam.fleet.limits.records import work_name
 from bitternbeam.fleet.limits.terms import Limit
 from bitternbeam.fleet.returns.admission import PURSE_LEAST, PURSE_MOST
 from bitternbeam.fleet.returns.settings import ReturnSettings
@@ -102,7 +102,7 @@
     def even(self) -> bool:
         """Whether every member has as much of the budget as any other: nothing is left of a fault before."""
         try:
-            grants = grants_of(self.record(work_of(self.limit.name)))
+            grants = parse_grants(self.record(work_name(self.limit.name)))
         except (LabError, OSError, ValueError, KeyError, TypeError):
             return False
         if grants is None or not grants.rows.keys() >= set(self.names):
@@ -125,6 +125,6 @@
         """
         part = safe * self.budget
         members = len(self.names)
-        over = over_window(self.limit, members, WINDOW_US, part, way_us=WAYS_US)
+        over = rate_excess(self.limit, members, WINDOW_US, part, delay_spread_us=WAYS_US)
         purses = PURSE_MOST * (part * self.settings.purse_ms / 1000 + members * PURSE_LEAST)
         return part * WINDOW_US / S + over + purses
--- a/bitternbeam/lab/verdict_trial.py
+++ b/bitternbeam/lab/verdict_trial.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bitternbeam.fleet.verdicts.bound import healed_ms, over_ms, stale_ms
-from bitternbeam.fleet.verdicts.verdict import Verdict, verdicts_of
+from bitternbeam.fleet.verdicts.bound import max_effect_ms, max_staleness_ms, recovery_ms
+from bitternbeam.fleet.verdicts.verdict import Verdict, parse_verdicts
 from bitternbeam.lab.called import Called
 from bitternbeam.lab.faults import FAULTS, owner_of
 from bitternbeam.lab.loads import S
@@ -76,14 +76,14 @@
     def standing(self, lab: Called, kind: str, since_us: int) -> Verdict | None:
         """Return the verdict that was pronounced since then, as its record tells it."""
         value = lab.record(f"verdict/{kind}")
-        rows = verdicts_of(value) or []
+        rows = parse_verdicts(value) or []
         mine = [one for one in rows if one.subject == KINDS[kind] and self.said_us(lab, one) >= since_us]
-        return max(mine, key=lambda one: one.order, default=None)
+        return max(mine, key=lambda one: one.precedence, default=None)
 
     @staticmethod
     def said_us(lab: Called, one: Verdict) -> int:
         """Return when a verdict was pronounced, in the logs' time."""
-        return one.at_ms * 1000 - lab.wall_less_monotonic_us
+        return one.issued_ms * 1000 - lab.wall_less_monotonic_us
 
     def provoke(self, lab: Called, since_us: int) -> dict[str, Verdict]:
         """Wait until both verdicts stand, then let the booker answer and the caller keep to its limit."""
@@ -122,7 +122,9 @@
             time.sleep(lasts_s)
         healed_us = lab.now_us()
         found = found or self.provoke(lab, began_us)
-        ends_us = max(self.said_us(lab, one) + over_ms(one.lasts_ms) * 1000 for one in found.values())
+        ends_us = max(
+            self.said_us(lab, one) + max_effect_ms(one.duration_ms) * 1000 for one in found.values()
+        )
         time.sleep(max(0.0, (ends_us - lab.now_us()) / S) + self.delay_ms / 1000 + 2)
         parts = [
             self.judge(lab, Episode(one, self.said_us(lab, one), hurt, healed_us)) for one in found.values()
@@ -163,17 +165,17 @@
         for name in lab.names:
             for line in (lab.folder / f"{name}.log.jsonl").read_text().splitlines():
                 at = said.search(line)
-                if at and f"until {one.ends_ms} " in line:
+                if at and f"until {one.expires_ms} " in line:
                     found.setdefault(name, int(at[1]))
         return found
 
     def judge(self, lab: Called, episode: Episode) -> dict[str, Any]:
         """Return what was let through past the bound, and which members went on past the end."""
         one, said_us = episode.verdict, episode.said_us
-        until_us = said_us + one.lasts_ms * 1000
-        over_us = said_us + (over_ms(one.lasts_ms) + self.delay_ms) * 1000
-        bound_us = said_us + stale_ms(self.period_ms, self.delay_ms) * 1000
-        late_us = episode.healed_us + healed_ms(self.period_ms, lab.terms.ttl_ms, self.delay_ms) * 1000
+        until_us = said_us + one.duration_ms * 1000
+        over_us = said_us + (max_effect_ms(one.duration_ms) + self.delay_ms) * 1000
+        bound_us = said_us + max_staleness_ms(self.period_ms, self.delay_ms) * 1000
+        late_us = episode.healed_us + recovery_ms(self.period_ms, lab.terms.ttl_ms, self.delay_ms) * 1000
         met = self.passed(lab, one)
         through, held_on = 0, 0
         heard = self.heard(lab, one)
--- a/bitternbeam/wiring/fleet/budgets.py
+++ b/bitternbeam/wiring/fleet/budgets.py
@@ -13,7 +13,7 @@
 from bitternbeam.fleet.budgets.granted import PairTerms
 from bitternbeam.fleet.budgets.holdings import Holdings
 from bitternbeam.fleet.budgets.terms import Kind
-from bitternbeam.fleet.limits.terms import Times
+from bitternbeam.fleet.limits.terms import LimitTimes
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.budget_work import BudgetWork
 from bitternbeam.wiring.fleet.extension import Extension
@@ -95,7 +95,7 @@
     def __init__(self, bench: Bench) -> None:
         self.bench, fleet, now = bench, bench.fleet, bench.deadlines.now_us()
         pairs = PairTerms(fleet.budget_members, fleet.budget_lasts_ms, fleet.budget_hold_most_ms)
-        times = Times(fleet.period_ms * 1000, bench.times.ttl_us)
+        times = LimitTimes(fleet.period_ms * 1000, bench.times.ttl_us)
         # A start's number: its Unix time, which grows from start to start.
         self.holdings = Holdings(pairs, times, fleet.name, now // 1000, now)
         self.work = BudgetWork(bench, self.holdings)
--- a/bitternbeam/wiring/fleet/limit_bounds.py
+++ b/bitternbeam/wiring/fleet/limit_bounds.py
@@ -6,7 +6,7 @@
 
 from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
-from bitternbeam.fleet.limits.member import Limits, Scope
+from bitternbeam.fleet.limits.member import CallScope, MemberLimits
 from bitternbeam.wiring.fleet.bench import Bench
 
 AWAY_MOST_US = 60_000_000
@@ -16,48 +16,48 @@
 class LimitBounds(Open):
     """What the cores ask: room at the offer where no booker matters, taken at each send."""
 
-    def __init__(self, bench: Bench, limits: Limits, tenant_of: Callable[[Offer], str]) -> None:
+    def __init__(self, bench: Bench, limits: MemberLimits, tenant_of: Callable[[Offer], str]) -> None:
         self.bench, self.limits, self.tenant_of = bench, limits, tenant_of
         # Those that bar a booker whatever the call is.
         self.of_bookers = [
-            one.name for one in limits.terms.values() if not (one.classes or one.tenants or one.callers)
+            one.name for one in limits.limits.values() if not (one.classes or one.tenants or one.callers)
         ]
 
-    def scope(self, offer: Offer, booker: str = "") -> Scope:
+    def scope(self, offer: Offer, booker: str = "") -> CallScope:
         """Return what a call is to a limit."""
-        return Scope(booker, offer.call_class, self.tenant_of(offer), offer.caller)
+        return CallScope(booker, offer.call_class, self.tenant_of(offer), offer.caller)
 
     def offered(self, offer: Offer, now_us: int) -> int | None:
         """Turn an offer away that no booker may be sent now."""
-        for one in self.limits.met(self.scope(offer)):
-            if not one.free(now_us):
-                one.turned()
+        for one in self.limits.matching(self.scope(offer)):
+            if not one.has_room(now_us):
+                one.note_refused()
                 self.bench.counters.add(f"fleet.limits.{one.limit.name}.refused")
                 if one.limit.kind == "held":
                     return self.limits.times.period_us
-                return min(AWAY_MOST_US, int(1e6 / max(one.may_use(now_us), 1e-6)))
+                return min(AWAY_MOST_US, int(1e6 / max(one.usable(now_us), 1e-6)))
         return None
 
     def dry(self, offer: Offer, now_us: int) -> frozenset[str]:
         """Return the bookers that a limit of theirs bars now."""
         found: set[str] = set()
         for name in self.of_bookers:
-            one = self.limits.readers[name].holding
-            if one.limit.bookers and not one.free(now_us):
+            one = self.limits.readers[name].local_limit
+            if one.limit.bookers and not one.has_room(now_us):
                 found.update(one.limit.bookers)
         return frozenset(found)
 
     def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         """Take from every limit that an attempt meets, or from none."""
-        name = self.limits.may(self.scope(offer, booker), now_us)
+        name = self.limits.try_acquire(self.scope(offer, booker), now_us)
         if name:
             self.bench.counters.add(f"fleet.limits.{name}.refused")
         return OVER_SHARE if name else ""
 
     def unsent(self, booker: str, offer: Offer) -> None:
         """Give back what is held; what was taken of a rate is spent."""
-        self.limits.over(self.scope(offer, booker))
+        self.limits.release(self.scope(offer, booker))
 
     def ended(self, booker: str, offer: Offer) -> None:
         """Give back what is held."""
-        self.limits.over(self.scope(offer, booker))
+        self.limits.release(self.scope(offer, booker))
--- a/bitternbeam/wiring/fleet/limit_work.py
+++ b/bitternbeam/wiring/fleet/limit_work.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from bitternbeam.fleet.limits.member import Limits
-from bitternbeam.fleet.limits.records import GrantPublisher, work_of
+from bitternbeam.fleet.limits.member import MemberLimits
+from bitternbeam.fleet.limits.records import GrantPublisher, work_name
 from bitternbeam.fleet.limits.sharing import Sharing
 from bitternbeam.fleet.limits.terms import Limit
 from bitternbeam.fleet.record import Write
@@ -19,8 +19,8 @@
 class LimitWork(Work):
     """Keeping one limit for the fleet: what is published is who may use how much of it."""
 
-    def __init__(self, bench: Bench, limit: Limit, limits: Limits, sharing: Sharing | None) -> None:
-        super().__init__(bench, work_of(limit.name))
+    def __init__(self, bench: Bench, limit: Limit, limits: MemberLimits, sharing: Sharing | None) -> None:
+        super().__init__(bench, work_name(limit.name))
         self.limits, self.limit = limits, limit
         self.keeper = GrantPublisher(limit, limits.times, limits.member, limits.boot, sharing)
         self.publication = self.keeper.publication
@@ -28,10 +28,10 @@
 
     def needs(self, rows: Mapping[str, Any], now_us: int) -> None:
         """Take the members' needs; the record is written at the next act."""
-        if not self.keeper.owns(self.claim.token, now_us):
+        if not self.keeper.update_ownership(self.claim.token, now_us):
             return
         for member, row in rows.items():
-            self.keeper.need(member, row, now_us)
+            self.keeper.apply_need_row(member, row, now_us)
         self.due = True
 
     def shown(self, entries: Mapping[str, KvEntry], now_us: int) -> None:
@@ -40,24 +40,24 @@
         if not self.publication.busy:
             self.stands(*((record.modify_index, record.value) if record else (0, None)))
         if record is not None:
-            self.limits.shown(self.limit.name, record.value, now_us, now_us // 1000)
+            self.limits.read_record(self.limit.name, record.value, now_us, now_us // 1000)
             heard = self.limits.readers[self.limit.name].follower.record
             if heard is not None:
                 self.claim.seen = max(self.claim.seen, heard.token.number)
 
     def stands(self, index: int, text: str | None) -> None:
         """Take what the engine holds."""
-        self.keeper.shown(index, text)
+        self.keeper.read_record(index, text)
 
     def publish(self, token: Token, now_us: int) -> None:
         """Write what the limit's owner grants, once a period."""
-        if not self.due or not self.keeper.owns(token, now_us) or self.publication.busy:
+        if not self.due or not self.keeper.update_ownership(token, now_us) or self.publication.busy:
             return
         if self.publication.index is None:
             self.look_up()
             return
         self.due = False
-        told = self.keeper.turn(now_us, now_us // 1000)
+        told = self.keeper.next_write(now_us, now_us // 1000)
         if isinstance(told, Token):
             self.refused(told)
         elif told is not None:
@@ -65,9 +65,9 @@
 
     def written(self, done: bool, write: Write) -> None:
         """Take the engine's answer; another's write in between is looked at, and this one made anew."""
-        self.keeper.written(done, write)
+        self.keeper.write_answered(done, write)
         self.due = self.due or not done
 
     def failed(self) -> None:
         """Note that no answer came."""
-        self.keeper.failed()
+        self.keeper.write_failed()
--- a/bitternbeam/wiring/fleet/verdict_work.py
+++ b/bitternbeam/wiring/fleet/verdict_work.py
@@ -9,8 +9,8 @@
 from bitternbeam.fleet.record import Heard, parse_record
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.fleet.verdicts.board import VerdictBoard
-from bitternbeam.fleet.verdicts.judges import Sentence
-from bitternbeam.fleet.verdicts.verdict import Verdict, verdicts_of
+from bitternbeam.fleet.verdicts.detectors import Detection
+from bitternbeam.fleet.verdicts.verdict import Verdict, parse_verdicts
 from bitternbeam.net.coordination import KvEntry
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.work import Work
@@ -26,7 +26,7 @@
     ) -> None:
         super().__init__(bench, "verdict", kind)
         self.kind, self.board, self.barred = kind, board, barred
-        self.judge: Callable[[], Iterable[Sentence]] | None = None  # over the reports of a period
+        self.judge: Callable[[], Iterable[Detection]] | None = None  # over the reports of a period
         self.published: frozenset[Verdict] = frozenset()  # rows of the record, believed or not
 
     def shown(self, entries: Mapping[str, KvEntry], now_us: int) -> None:
@@ -35,7 +35,7 @@
         super().shown(entries, now_us)
         entry = entries.get(self.key)
         record = parse_record(entry.value) if entry is not None else None
-        verdicts = verdicts_of(record.value) or [] if record is not None else []
+        verdicts = parse_verdicts(record.value) or [] if record is not None else []
         # Danger: of one who lost all and whose token is too low for us, we would think that it knows.
         self.published = frozenset(verdicts)
         if first and self.follower.record is None:
@@ -44,33 +44,33 @@
     def heard(self, value: dict[str, Any]) -> None:
         """Take what was published."""
         now_us = self.bench.deadlines.now_us()
-        before = self.board.standing(self.kind, now_us)
-        if not self.board.shown(self.kind, value, now_us, now_us // 1000):
+        before = self.board.active_by_subject(self.kind, now_us)
+        if not self.board.read_record(self.kind, value, now_us, now_us // 1000):
             self.bench.counters.add("fleet.records_malformed")
         self._told(before, now_us)
 
     def _told(self, before: Mapping[str, Verdict], now_us: int) -> None:
         """Say what is in force now and was not."""
-        now = self.board.standing(self.kind, now_us)
+        now = self.board.active_by_subject(self.kind, now_us)
         for name, one in now.items():
             if before.get(name) != one:
                 self.bench.counters.add(f"fleet.verdicts.{self.kind}")
                 log.warning(
                     "fleet: %s %s is barred until %d (%s), %d ms after %s said so",
-                    self.kind, name, one.ends_ms, one.cause, now_us // 1000 - one.at_ms, one.token,
+                    self.kind, name, one.expires_ms, one.cause, now_us // 1000 - one.issued_ms, one.token,
                 )  # fmt: skip
                 self.barred(self.kind, name)
 
     def kept(self, now_us: int) -> list[list[Any]]:
         """Return the verdicts that bar here and that the record lacks: its owner may not know them."""
-        mine = self.board.standing(self.kind, now_us).values()
-        return [one.row() for one in mine if one not in self.published]
+        mine = self.board.active_by_subject(self.kind, now_us).values()
+        return [one.to_row() for one in mine if one not in self.published]
 
     def known(self, verdicts: Iterable[Verdict], now_us: int) -> None:
         """Take what other members hold."""
-        before = self.board.standing(self.kind, now_us)
+        before = self.board.active_by_subject(self.kind, now_us)
         for one in verdicts:
-            if one.kind == self.kind and self.board.take(one, now_us, now_us // 1000) is Heard.NEW:
+            if one.kind == self.kind and self.board.add(one, now_us, now_us // 1000) is Heard.NEW:
                 self.claim.seen = max(self.claim.seen, one.token.number)
         self._told(before, now_us)
 
@@ -79,20 +79,20 @@
         if self.judge is None:
             return
         judge, self.judge = self.judge, None
-        highest = self.board.highest(self.kind)
+        highest = self.board.highest_token(self.kind)
         if highest is not None and highest != token and highest.number >= token.number:
             self.refused(highest)  # no member would believe a record under this one
             return
-        before = self.board.standing(self.kind, now_us)
+        before = self.board.active_by_subject(self.kind, now_us)
         for one in judge():
             verdict = Verdict(
-                self.kind, one.subject, one.cause, token, now_us // 1000, one.lasts_ms
+                self.kind, one.subject, one.cause, token, now_us // 1000, one.duration_ms
             )  # fmt: skip
-            if self.board.pronounce(verdict, now_us, now_us // 1000) is None:
-                self.refused(self.board.highest(self.kind))
+            if self.board.issue(verdict, now_us, now_us // 1000) is None:
+                self.refused(self.board.highest_token(self.kind))
                 return
         self._told(before, now_us)
 
     def value(self) -> dict[str, Any]:
         """Return the board's part."""
-        return self.board.value(self.kind)
+        return self.board.record_value(self.kind)
--- a/bitternbeam/wiring/fleet/verdicts.py
+++ b/bitternbeam/wiring/fleet/verdicts.py
@@ -14,11 +14,11 @@
 from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
 from bitternbeam.fleet.verdicts.board import VerdictBoard
-from bitternbeam.fleet.verdicts.bound import stale_ms
-from bitternbeam.fleet.verdicts.judges import BookerJudge, DemandJudge, Sentence, VersionJudge
-from bitternbeam.fleet.verdicts.seen import Report, Seen, Told, report_of
-from bitternbeam.fleet.verdicts.settings import Terms
-from bitternbeam.fleet.verdicts.verdict import verdict_of
+from bitternbeam.fleet.verdicts.bound import max_staleness_ms
+from bitternbeam.fleet.verdicts.detectors import BookerDetector, DemandDetector, Detection, VersionDetector
+from bitternbeam.fleet.verdicts.observations import MemberReport, Observations, SubjectKey, parse_report
+from bitternbeam.fleet.verdicts.settings import VerdictSettings
+from bitternbeam.fleet.verdicts.verdict import parse_verdict
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.extension import Extension
 from bitternbeam.wiring.fleet.limit_bounds import AWAY_MOST_US, OVER_SHARE
@@ -33,7 +33,12 @@
     """What the cores ask: whose call is turned away at once, which bookers get nothing new."""
 
     def __init__(
-        self, bench: Bench, board: VerdictBoard, seen: Seen, terms: Terms, tenant_of: Callable[[Offer], str]
+        self,
+        bench: Bench,
+        board: VerdictBoard,
+        seen: Observations,
+        terms: VerdictSettings,
+        tenant_of: Callable[[Offer], str],
     ) -> None:
         self.bench, self.board, self.seen, self.terms, self.tenant_of = bench, board, seen, terms, tenant_of
         self.callers = [kind for kind in ("tenant", "caller") if kind in terms.kinds]
@@ -41,17 +46,17 @@
 
     def barred(self, kind: str, subject: str) -> None:
         """Take a new verdict; that it is over is seen at each call."""
-        self.seen.judged(kind, subject)
+        self.seen.reset_subject(kind, subject)
         if kind == "booker":
-            self.ejected = frozenset(name for of, name in self.board.held if of == kind)
+            self.ejected = frozenset(name for of, name in self.board.entries if of == kind)
 
     def offered(self, offer: Offer, now_us: int) -> int | None:
         """Turn a barred tenant's or caller's call away until the verdict's end."""
         away_us = 0
         for kind in self.callers:
             subject = offer.caller if kind == "caller" else self.tenant_of(offer)
-            self.seen.offered(kind, subject)
-            away_us = max(away_us, self.board.left_us(kind, subject, now_us))
+            self.seen.count_offer(kind, subject)
+            away_us = max(away_us, self.board.remaining_us(kind, subject, now_us))
         if not away_us:
             return None
         self.bench.counters.add("fleet.verdicts.refused")
@@ -59,7 +64,7 @@
 
     def dry(self, offer: Offer, now_us: int) -> frozenset[str]:
         """Return the ejected bookers."""
-        return frozenset(one for one in self.ejected if self.board.left_us("booker", one, now_us))
+        return frozenset(one for one in self.ejected if self.board.remaining_us("booker", one, now_us))
 
     def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         """Let nothing new go to an ejected booker."""
@@ -67,15 +72,15 @@
 
     def answered(self, booker: str, now_us: int) -> None:
         """Note a booker that answers."""
-        self.seen.ended(booker, late=False)
+        self.seen.count_attempt(booker, unanswered=False)
 
     def refused(self, booker: str) -> None:
         """Note a booker that answers."""
-        self.seen.ended(booker, late=False)
+        self.seen.count_attempt(booker, unanswered=False)
 
     def late(self, booker: str) -> None:
         """Note a booker that did not answer in time."""
-        self.seen.ended(booker, late=True)
+        self.seen.count_attempt(booker, unanswered=True)
 
 
 class VerdictsExtension(Extension):
@@ -89,8 +94,8 @@
     def __init__(
         self,
         bench: Bench,
-        terms: Terms,
-        limits: Mapping[Told, float],
+        terms: VerdictSettings,
+        limits: Mapping[SubjectKey, float],
         bookers: Collection[str],
         *,
         tenant_of: Callable[[Offer], str],
@@ -101,20 +106,20 @@
             versions.condemned = self.condemned
         now = bench.deadlines.now_us()
         self.board = VerdictBoard(bench.fleet.view_age_ms * 1000, now)
-        self.seen = Seen(terms.turns, limits, now)
+        self.seen = Observations(terms.booker_periods, limits, now)
         self.bounds: VerdictBounds = VerdictBounds(bench, self.board, self.seen, terms, tenant_of)
         self.kept = {kind: VerdictWork(bench, kind, self.board, self.bounds.barred) for kind in terms.kinds}
         self.works: Sequence[VerdictWork] = list(self.kept.values())
         self.again: Callable[[], None] = lambda: None  # offers the file's document
         self.held_back = False
-        self.booker_judge, self.version_judge = BookerJudge(terms), VersionJudge(terms)
-        self.demand_judges: dict[str, DemandJudge] = {
-            kind: DemandJudge(terms, kind, limits) for kind in ("tenant", "caller") if kind in terms.kinds
+        self.booker_judge, self.version_judge = BookerDetector(terms), VersionDetector(terms)
+        self.demand_judges: dict[str, DemandDetector] = {
+            kind: DemandDetector(terms, kind, limits) for kind in ("tenant", "caller") if kind in terms.kinds
         }
 
     def tick(self, now_us: int) -> None:
         """Have a version offered again that was held back while nothing was heard."""
-        if self.held_back and self.board.hears("version", now_us):
+        if self.held_back and self.board.is_informed("version", now_us):
             self.held_back = False
             try:
                 self.again()
@@ -126,22 +131,22 @@
         """Judge by changed amounts."""
         amounts = judged_limits(fleet.limit)
         for judge in self.demand_judges.values():
-            judge.take(amounts)
+            judge.set_limits(amounts)
 
     def reports(self, now_us: int) -> dict[str, Any]:
         """Return what was seen here, and what is held here that the records lack."""
         if self.versions is not None:
             for content, cause in self.versions.bad.items():
-                if self.board.stands("version", content, now_us) is None:
-                    self.seen.rolled_back(content, cause)
+                if self.board.active("version", content, now_us) is None:
+                    self.seen.note_rollback(content, cause)
         kept = {name: rows[:KEPT_MOST] for name, work in self.kept.items() if (rows := work.kept(now_us))}
-        return self.seen.report(now_us) | {"kept": kept}
+        return self.seen.build_report(now_us) | {"kept": kept}
 
     def heard(self, parts: Mapping[str, dict[str, Any]], now_us: int) -> None:
         """Hand the members' reports to the kinds that are judged here."""
-        reports: dict[str, Report] = {}
+        reports: dict[str, MemberReport] = {}
         for member, part in parts.items():
-            report = report_of(part)
+            report = parse_report(part)
             if report is None:
                 self.bench.counters.add("fleet.reports_malformed")
                 continue
@@ -149,19 +154,19 @@
             kept = part.get("kept")
             for kind, rows in kept.items() if isinstance(kept, dict) else ():
                 if kind in self.kept and isinstance(rows, list):
-                    found = [verdict_of(kind, row) for row in rows[:KEPT_MOST]]
+                    found = [parse_verdict(kind, row) for row in rows[:KEPT_MOST]]
                     self.kept[kind].known([one for one in found if one is not None], now_us)
         for kind, work in self.kept.items():
             if work.claim.token is not None:
                 work.judge = lambda kind=kind: self._judge(kind, reports)
 
-    def _judge(self, kind: str, reports: Mapping[str, Report]) -> list[Sentence]:
+    def _judge(self, kind: str, reports: Mapping[str, MemberReport]) -> list[Detection]:
         now = self.bench.deadlines.now_us()
         if kind == "booker":
-            return self.booker_judge.judge(reports, self.board, self.bookers, now)
+            return self.booker_judge.detect(reports, self.board, self.bookers, now)
         if kind == "version":
-            return self.version_judge.judge(reports, self.board, now)
-        return self.demand_judges[kind].judge(reports, self.board, now)
+            return self.version_judge.detect(reports, self.board, now)
+        return self.demand_judges[kind].detect(reports, self.board, now)
 
     def check(self, _old: Snapshot, new: Snapshot) -> None:
         """Refuse a version that is judged bad, or, while nothing is heard of it, any that was not good here.
@@ -171,7 +176,7 @@
         if "version" not in self.kept:
             return
         content = content_of(new)
-        why = self.board.bars("version", content, self.bench.deadlines.now_us())
+        why = self.board.denial_reason("version", content, self.bench.deadlines.now_us())
         past = self.versions.past if self.versions is not None else ()
         if why == "unheard":
             why = "" if any(one.content == content for one in past) else "the fleet's verdicts are not heard"
@@ -181,7 +186,7 @@
 
     def condemned(self, content: str) -> str:
         """Return why a version that is on probation here may not go on: another member's turned it back."""
-        verdict = self.board.stands("version", content, self.bench.deadlines.now_us())
+        verdict = self.board.active("version", content, self.bench.deadlines.now_us())
         return f"the fleet's verdict: {verdict.cause}" if verdict is not None else ""
 
     def status(self) -> dict[str, Any]:
@@ -190,7 +195,7 @@
         fleet = self.bench.fleet
         return {
             "in_force": self.board.status(now),
-            "heard": {kind: self.board.hears(kind, now) for kind in self.kept},
-            "stale_most_ms": stale_ms(fleet.period_ms),
-            "refused": dict(self.board.refused),
+            "heard": {kind: self.board.is_informed(kind, now) for kind in self.kept},
+            "stale_most_ms": max_staleness_ms(fleet.period_ms),
+            "refused": dict(self.board.rejected),
         }
--- a/tests/granted_world.py
+++ b/tests/granted_world.py
@@ -9,10 +9,10 @@
 from functools import partial
 
 from bitternbeam.fleet.limits.grants import Grants
-from bitternbeam.fleet.limits.holding import Holding
 from bitternbeam.fleet.limits.ledger import Ledger
+from bitternbeam.fleet.limits.local_limit import LocalLimit
 from bitternbeam.fleet.limits.need import Need
-from bitternbeam.fleet.limits.terms import Limit, Times
+from bitternbeam.fleet.limits.terms import Limit, LimitTimes
 from bitternbeam.fleet.returns.settings import ReturnSettings
 from bitternbeam.fleet.tokens import Token
 from tests.returns_world import Member, Part, World
@@ -24,15 +24,15 @@
 class Grant(Part):
     """A member's part of the budget, by its holding of the limit."""
 
-    def __init__(self, holding: Holding, whole: float) -> None:
+    def __init__(self, holding: LocalLimit, whole: float) -> None:
         super().__init__(0.0, whole)
         self.holding = holding
 
     def may(self, now_us: int) -> bool:
-        return self.holding.may(now_us)
+        return self.holding.try_acquire(now_us)
 
     def rate(self, now_us: int) -> float:
-        return self.holding.may_use(now_us)
+        return self.holding.usable(now_us)
 
 
 @dataclass
@@ -47,7 +47,7 @@
 
     def __post_init__(self) -> None:
         self.limit = Limit("back", "rate", self.budget, self.safe, self.members, self.lasts_ms)
-        self.times = Times(PERIOD_MS * 1000, TTL_MS * 1000)
+        self.times = LimitTimes(PERIOD_MS * 1000, TTL_MS * 1000)
         self.reigns = 0
         self.parts: dict[str, Grant] = {}
         super().__post_init__()
@@ -58,7 +58,7 @@
     def boot(self, one: Member) -> None:
         """Give a member its part anew, as a start does."""
         part = Grant(
-            Holding(self.limit, self.times, one.name, 1 + self.now_us // 1000, self.now_us), self.budget
+            LocalLimit(self.limit, self.times, one.name, 1 + self.now_us // 1000, self.now_us), self.budget
         )
         one.part = self.parts[one.name] = part
         if one.returns is not None:
@@ -79,14 +79,14 @@
             if one.returns is None or one.down or one.paused:
                 continue
             holding = self.parts[one.name].holding
-            holding.asked = round(one.returns.due)
-            need = holding.need(self.now_us)
+            holding.requested = round(one.returns.due)
+            need = holding.build_need(self.now_us)
             if not one.cut:
                 self.after(self.delay_ms, partial(self.needed, need))
 
     def needed(self, need: Need) -> None:
         if not self.fleet[self.granter].cut:
-            self.ledger.need(need, self.now_us)
+            self.ledger.apply_need(need, self.now_us)
 
     def publish(self, ledger: Ledger) -> None:
         owner = self.fleet[self.granter]
@@ -94,7 +94,9 @@
             return
         self.after(PERIOD_MS, partial(self.publish, ledger))
         if not (owner.cut or owner.down or owner.paused):
-            self.after(self.delay_ms / 2, partial(self.granted, ledger.token, ledger.plan(self.now_us)))
+            self.after(
+                self.delay_ms / 2, partial(self.granted, ledger.token, ledger.plan_grants(self.now_us))
+            )
 
     def granted(self, token: Token, grants: Grants) -> None:
         for one in self.fleet:
@@ -103,4 +105,4 @@
 
     def told(self, one: Member, token: Token, grants: Grants) -> None:
         if not one.cut:
-            self.parts[one.name].holding.granted(token, grants, self.now_us)
+            self.parts[one.name].holding.apply_grants(token, grants, self.now_us)
--- a/tests/limits_member.py
+++ b/tests/limits_member.py
@@ -6,8 +6,8 @@
 
 from bitternbeam.fleet.claim import Claim
 from bitternbeam.fleet.lease import Session
-from bitternbeam.fleet.limits.holding import Holding
-from bitternbeam.fleet.limits.records import GrantPublisher, Reader, work_of
+from bitternbeam.fleet.limits.local_limit import LocalLimit
+from bitternbeam.fleet.limits.records import GrantPublisher, LimitReader, work_name
 
 if TYPE_CHECKING:
     from tests.limits_model import World
@@ -25,9 +25,9 @@
         now = self.now
         limit = world.configured[self.name]
         self.session = Session(world.lease, now)
-        self.claim = Claim(work_of(limit.name), self.name, world.lease)
-        self.holding = Holding(limit, world.times, self.name, boot, now, held=held)
-        self.reader = Reader(self.holding, limit.lasts_us)
+        self.claim = Claim(work_name(limit.name), self.name, world.lease)
+        self.holding = LocalLimit(limit, world.times, self.name, boot, now, held=held)
+        self.reader = LimitReader(self.holding, limit.grant_duration_us)
         self.keeper = GrantPublisher(limit, world.times, self.name, boot)
         self.paused = False
         self.mail: list[str] = []  # records on their way to it
--- a/tests/limits_model.py
+++ b/tests/limits_model.py
@@ -17,8 +17,8 @@
 
 from bitternbeam.fleet.claim import Step
 from bitternbeam.fleet.lease import LeaseTimes
-from bitternbeam.fleet.limits.bound import lowered_us, over_held, over_window
-from bitternbeam.fleet.limits.terms import Limit, Times
+from bitternbeam.fleet.limits.bound import decrease_delay_us, held_excess, rate_excess
+from bitternbeam.fleet.limits.terms import Limit, LimitTimes
 from bitternbeam.fleet.record import Write
 from standins.consul.engine import Engine
 from tests.fleet_model import TIMES as LEASE
@@ -34,7 +34,7 @@
 
     count: int
     limit: Limit
-    times: Times
+    times: LimitTimes
     lease: LeaseTimes = LEASE
     now_us: int = 10 * SECOND
     engine: Engine = field(default_factory=Engine)
@@ -74,12 +74,12 @@
                 one.session.tick(one.now)
         if self.limit.kind == "held":
             for name in self.things:
-                gone = [at for at in self.things[name] if self.now_us - at >= self.limit.linger_us]
+                gone = [at for at in self.things[name] if self.now_us - at >= self.limit.max_use_us]
                 self.things[name] = self.things[name][len(gone) :]
                 member = self.members[name]
                 if member is not None:
                     member.holding.release(len(gone))
-                self.lost[name] = [at for at in self.lost[name] if self.now_us - at < self.limit.linger_us]
+                self.lost[name] = [at for at in self.lost[name] if self.now_us - at < self.limit.max_use_us]
 
     # The engine, as a member reaches it.
 
@@ -164,7 +164,7 @@
     # What members do.
 
     def report(self, one: Member, late: bool = False) -> None:
-        row = one.holding.need(one.now).row()
+        row = one.holding.build_need(one.now).to_row()
         if self.reaches(one):
             self.put(REPORT + one.name, json.dumps(row), {}, late)
 
@@ -175,30 +175,30 @@
             if late:
                 one.mail.append(text)
             else:
-                one.reader.shown(text, one.now, self.now_us // 1000)
+                one.reader.read_record(text, one.now, self.now_us // 1000)
 
     def open(self, one: Member, index: int) -> None:
         if one.mail:
-            one.reader.shown(one.mail.pop(index % len(one.mail)), one.now, self.now_us // 1000)
+            one.reader.read_record(one.mail.pop(index % len(one.mail)), one.now, self.now_us // 1000)
 
     def turn(self, one: Member, late: bool = False) -> None:
         """Let a member do the owner's turn, if it believes that it is one."""
         keeper = one.keeper
-        if not keeper.owns(one.claim.may_act(one.now, one.session), one.now):
+        if not keeper.update_ownership(one.claim.may_act(one.now, one.session), one.now):
             return
         if self.whole(one):
-            keeper.shown(*self.read(RECORD))
+            keeper.read_record(*self.read(RECORD))
             _index, found = self.engine.read(REPORT, True, self.now_us)
             for entry in found:
                 row: Any = json.loads(base64.b64decode(entry["Value"]))
-                keeper.need(entry["Key"].removeprefix(REPORT), row, one.now)
-        write = keeper.turn(one.now, self.now_us // 1000)
+                keeper.apply_need_row(entry["Key"].removeprefix(REPORT), row, one.now)
+        write = keeper.next_write(one.now, self.now_us // 1000)
         if isinstance(write, Write):
             done = self.reaches(one) and self.put(RECORD, write.record.text(), {"cas": str(write.cas)}, late)
             if self.whole(one) and not late:
-                keeper.written(done, write)
+                keeper.write_answered(done, write)
             else:
-                keeper.failed()
+                keeper.write_failed()
         elif write is not None:
             one.claim.refused(write)
 
@@ -210,7 +210,7 @@
             self.now_us = over_us - (ago[each] if ago else 0)
             done += self.use_one(one)
             if not ago and done <= each:
-                one.holding.turned(wanted - each - 1)
+                one.holding.note_refused(wanted - each - 1)
                 break
         self.now_us = over_us
         if done and ago:
@@ -218,11 +218,11 @@
         return done
 
     def use_one(self, one: Member) -> bool:
-        if not one.holding.may(one.now):
+        if not one.holding.try_acquire(one.now):
             return False
         self.served[one.name] += 1
         (self.things[one.name] if self.limit.kind == "held" else self.sends).append(self.now_us)
-        if one.now >= one.holding.until_us and one.holding.safe_part(one.now) < 1:
+        if one.now >= one.holding.extra_expires_us and one.holding.usable_safe_part(one.now) < 1:
             self.singles.append(self.now_us)
         return True
 
@@ -265,10 +265,10 @@
             limit = self.configured[name] = replace(self.limit, amount=amount)
             one = self.members[name]
             if one is not None:
-                one.holding.amount(limit)
-                one.keeper.amount(limit)
+                one.holding.set_limit(limit)
+                one.keeper.set_limit(limit)
         for gone in old - set(self.configured.values()):
-            self.before.append((self.now_us + lowered_us(gone, self.times), gone))
+            self.before.append((self.now_us + decrease_delay_us(gone, self.times), gone))
 
     def period(self, parts: int = 10) -> None:
         """Let all that run do all they would for a period, in steps."""
@@ -302,7 +302,7 @@
         total = 0.0
         for name, one in self.members.items():
             held = float(len(self.things[name]))
-            may = one.holding.may_use(one.now) if one is not None else 0.0
+            may = one.holding.usable(one.now) if one is not None else 0.0
             total += max(held, may) + len(self.lost[name])
         return total
 
@@ -310,7 +310,7 @@
         """Assert the stated bound on what may be used, held, and was sent in each window."""
         amount, limit = self.amount(), self.limit
         usable = self.usable()
-        assert usable <= amount + over_held(limit, self.count, amount) + 1e-6, (usable, amount)
+        assert usable <= amount + held_excess(limit, self.count, amount) + 1e-6, (usable, amount)
         self.peak = max(self.peak, usable / amount)
         if limit.kind == "held":
             return
@@ -325,8 +325,8 @@
                 sum(at > self.now_us - window_us for at in sends) for sends in (self.sends, self.singles)
             )
             most = max(told for at, told in self.highest if at >= self.now_us - window_us)
-            bound = most * window_us / SECOND + over_window(limit, self.count, window_us, most)
+            bound = most * window_us / SECOND + rate_excess(limit, self.count, window_us, most)
             assert sent <= bound + 1e-6, (window_us, sent, bound)
             # With links whole none is sent alone: then no window has more than the amount.
-            bound = most * window_us / SECOND + over_window(limit, self.count, window_us, most, whole=True)
+            bound = most * window_us / SECOND + rate_excess(limit, self.count, window_us, most, granted=True)
             assert sent - alone <= bound + 1e-6, (window_us, sent, alone, bound)
--- a/tests/test_budget_grants.py
+++ b/tests/test_budget_grants.py
@@ -19,7 +19,7 @@
 from bitternbeam.fleet.budgets.slices import whole
 from bitternbeam.fleet.budgets.terms import Budget, BudgetTerms, Part, Tenant
 from bitternbeam.fleet.limits.need import Need
-from bitternbeam.fleet.limits.terms import Times
+from bitternbeam.fleet.limits.terms import LimitTimes
 from bitternbeam.fleet.record import RECORD_BYTES, Record
 from bitternbeam.fleet.tokens import Token
 
@@ -35,7 +35,7 @@
 
     def __init__(self, seed: int, tenants: list[Tenant] = TENANTS) -> None:
         self.random, self.now, self.tenants = Random(seed), 1_000 * S, tenants
-        self.pairs, self.times = PairTerms(len(NAMES), 6_000, HOLD_MS), Times(S, 3 * S)
+        self.pairs, self.times = PairTerms(len(NAMES), 6_000, HOLD_MS), LimitTimes(S, 3 * S)
         self.members = {name: self.member(name) for name in NAMES}
         self.calls: list[tuple[int, Holdings, str, str]] = []  # ends, member, tenant, booker
         self.reports: dict[str, Any] = {}
@@ -148,7 +148,7 @@
         took += 1
         if (
             sum(
-                one.may_use(world.now)
+                one.usable(world.now)
                 for m in (world.members[name] for name in NAMES[:3])
                 for (name, _b), one in m.kept.items()
                 if name == "b"
@@ -177,7 +177,7 @@
     for _ in range(30):  # its grants lapse, and what was taken under them has ended
         world.step(want=24)
     rest = [world.members[name] for name in NAMES[:3]]
-    assert sum(one.may_use(world.now) for member in rest for one in member.kept.values()) >= 18  # of 19
+    assert sum(one.usable(world.now) for member in rest for one in member.kept.values()) >= 18  # of 19
 
 
 def report(seq: int, rev: int, extra: float, *, boot: int = 1, held: int = 0, settled: bool = True) -> Report:
@@ -186,7 +186,7 @@
 
 
 def test_a_page_counts_what_any_record_may_still_let_a_member_have() -> None:
-    waits, pair = Waits.of(PairTerms(4, 6_000, HOLD_MS), Times(S, 3 * S)), ("a", "b0")
+    waits, pair = Waits.of(PairTerms(4, 6_000, HOLD_MS), LimitTimes(S, 3 * S)), ("a", "b0")
     ledger = MemberLedger(waits, 1, 0)
     ledger.heard(report(1, 1, 2.0), True, 0)
     for rev in range(2, 14):  # it hears none, or all: each may be the one that it goes by
@@ -208,7 +208,7 @@
     tenants = [Tenant(f"t{one:02}", 1.0, Part(200)) for one in range(30)]
     budgets = [Budget(f"b{one:02}", 0, 100) for one in range(60)]
     everywhere = tuple(one.booker for one in budgets)
-    pairs, times, now, token = PairTerms(40, 20_000, 1_000), Times(S, 10 * S), 1_000 * S, Token(1, "m00")
+    pairs, times, now, token = PairTerms(40, 20_000, 1_000), LimitTimes(S, 10 * S), 1_000 * S, Token(1, "m00")
     members = [Holdings(pairs, times, f"m{one:02}", 1, now) for one in range(40)]
     owner = Granting(pairs, times, "m00", 1, BudgetTerms())
     owner.owns(token, None, now)
@@ -223,7 +223,7 @@
         assert len(record.text()) < RECORD_BYTES / 4
         for member in members:
             member.shown(token, json.loads(record.text())["is"], now)
-    assert sum(one.may_use(now) for member in members for one in member.kept.values()) > 5_400  # of 6,000
+    assert sum(one.usable(now) for member in members for one in member.kept.values()) > 5_400  # of 6,000
 
 
 NAMED = st.sampled_from(NAMES)
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -14,7 +14,7 @@
 from bitternbeam.counters import Counters
 from bitternbeam.fleet.budgets.granted import PairTerms
 from bitternbeam.fleet.budgets.holdings import Holdings
-from bitternbeam.fleet.limits.terms import Times
+from bitternbeam.fleet.limits.terms import LimitTimes
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.lab.budget_stories import STORIES
 from bitternbeam.lab.budget_trial import BudgetTrial
@@ -67,7 +67,7 @@
         return Fleet(budget=(BudgetTable("b1", lines=9),), tenant=(a, b))
 
     pairs = PairTerms(2, 20_000, 1_000)
-    holdings = Holdings(pairs, Times(1_000_000, 10_000_000), "m1", 1, 0)
+    holdings = Holdings(pairs, LimitTimes(1_000_000, 10_000_000), "m1", 1, 0)
     bench = Bench(None, None, Counters(), fleet("31"), None, None, None)  # type: ignore[arg-type]
     bounds = BudgetBounds(bench, holdings)
     holdings.report(1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from bitternbeam.fleet.limits.bound import WAY_US
-from bitternbeam.fleet.limits.terms import Limit, Times
+from bitternbeam.fleet.limits.bound import TOLERATED_DELAY_SPREAD_US
+from bitternbeam.fleet.limits.terms import Limit, LimitTimes
 from tests.fleet_model import TIMES as LEASE
 from tests.limits_member import SECOND
 from tests.limits_model import World
 
-TIMES = Times(SECOND, LEASE.ttl_us)
+TIMES = LimitTimes(SECOND, LEASE.ttl_us)
 RATE = Limit("calls", "rate", 60.0, safe=0.1, most=3, lasts_ms=5_000)
 HELD = Limit("lines", "held", 60.0, safe=0.1, most=3, lasts_ms=5_000, hold_most_ms=8_000)
 WHICH = st.sampled_from(["m0", "m1", "m2"])
@@ -76,7 +76,7 @@
     world = many("rate", count)
     used = [live(world) for _ in range(12)]
     assert mean(used) >= 0.95, used
-    assert 0.97 * 20 * count < world.busiest(SECOND, WAY_US) <= 20 * count
+    assert 0.97 * 20 * count < world.busiest(SECOND, TOLERATED_DELAY_SPREAD_US) <= 20 * count
 
 
 @KINDS
@@ -85,11 +85,11 @@
     world.change(list(world.members), 400.0)
     for _ in range(2):
         live(world)  # a turn, and the reports after it
-    assert {one.holding.part for one in world.up()} == {0.5}
-    assert sum(one.holding.may_use(one.now) for one in world.up()) <= 400 + 1e-6
+    assert {one.holding.published_safe_part for one in world.up()} == {0.5}
+    assert sum(one.holding.usable(one.now) for one in world.up()) <= 400 + 1e-6
     world.change(list(world.members), 1_000.0)
     used = [live(world) for _ in range(16)]
-    assert sum(one.holding.may_use(one.now) for one in world.up()) > 950 and max(used) <= 1 + 1e-6
+    assert sum(one.holding.usable(one.now) for one in world.up()) > 950 and max(used) <= 1 + 1e-6
 
 
 @KINDS
@@ -104,7 +104,7 @@
         world.cut_out.update(cut)
     for _ in range(14):
         live(world)
-    assert all(one.holding.may_use(one.now) <= MANY[kind].safe_part for one in world.up() if one.name in cut)
+    assert all(one.holding.usable(one.now) <= MANY[kind].safe_part for one in world.up() if one.name in cut)
     world.cut_in, world.cut_out = set(), set()
     used = [live(world) for _ in range(6)]
     assert mean(used[2:]) >= 0.95, used
@@ -116,7 +116,7 @@
     world.cut_in.update(world.members)
     for _ in range(14):
         live(world)
-    assert max(one.holding.may_use(one.now) for one in world.up()) <= MANY[kind].safe_part
+    assert max(one.holding.usable(one.now) for one in world.up()) <= MANY[kind].safe_part
     world.cut_in.clear()
     for _ in range(8):
         live(world)
--- a/tests/test_limits_window.py
+++ b/tests/test_limits_window.py
@@ -8,45 +8,50 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternbeam.fleet.limits.grants import Grants, Row
-from bitternbeam.fleet.limits.holding import Holding
-from bitternbeam.fleet.limits.rounding import Rounding, cost, raised
+from bitternbeam.fleet.limits.grants import GrantRow, Grants
+from bitternbeam.fleet.limits.local_limit import LocalLimit
+from bitternbeam.fleet.limits.rounding import Rounding, extra_cost, raise_extras
 from bitternbeam.fleet.limits.sharing import share, share_rate
-from bitternbeam.fleet.limits.terms import SPELL_US, STANDS_US, Limit, Times
+from bitternbeam.fleet.limits.terms import BURST_SPAN_US, SEND_LIFETIME_US, Limit, LimitTimes
 from bitternbeam.fleet.tokens import Token
 
 SECOND = 1_000_000
 PARTS = st.dictionaries(st.sampled_from("abcdefgh"), st.floats(0, 50), min_size=1)
 
 
-def holding(extra: float | None, most: int = 20, safe: float = 0.1) -> Holding:
+def holding(extra: float | None, most: int = 20, safe: float = 0.1) -> LocalLimit:
     limit = Limit("calls", "rate", 10.0 / safe, safe, most, lasts_ms=3_600_000)
-    one = Holding(limit, Times(), "m0", 1, -2 * SECOND)
-    one.need(0)
+    one = LocalLimit(limit, LimitTimes(), "m0", 1, -2 * SECOND)
+    one.build_need(0)
     if extra is not None:
-        rows = {"m0": Row(extra, 1, 1)}
-        assert one.granted(Token(1, "m1"), Grants("calls", "r", 1, limit.safe_part, limit.lasts_us, rows), 0)
+        rows = {"m0": GrantRow(extra, 1, 1)}
+        assert one.apply_grants(
+            Token(1, "m1"), Grants("calls", "r", 1, limit.safe_part, limit.grant_duration_us, rows), 0
+        )
     return one
 
 
 @settings(derandomize=True, deadline=None, max_examples=50)
 @given(st.integers(1, 30), st.lists(st.sampled_from([0, 1, 5_000, 40_000, 300_000]), max_size=400))
 def test_a_call_is_turned_away_only_where_a_second_or_a_spell_is_full(part: int, gaps: list[int]) -> None:
-    one, now, sent = holding(part - 0.5), 0, [-STANDS_US]
+    one, now, sent = holding(part - 0.5), 0, [-SEND_LIFETIME_US]
     for gap in gaps:
         now += gap
-        stand = sum(now - at < STANDS_US for at in sent)
-        spell = sum(now - at < SPELL_US for at in sent)
-        assert one.may(now) is (stand < part and spell < -(-part // 4))
+        stand = sum(now - at < SEND_LIFETIME_US for at in sent)
+        spell = sum(now - at < BURST_SPAN_US for at in sent)
+        assert one.try_acquire(now) is (stand < part and spell < -(-part // 4))
         if one.held > stand:
             sent.append(now)
-    assert one.need(now).held == sum(now - at < STANDS_US for at in sent)
+    assert one.build_need(now).held == sum(now - at < SEND_LIFETIME_US for at in sent)
 
 
 def test_a_start_sends_nothing_while_what_an_earlier_one_sent_may_stand() -> None:
-    one = Holding(Limit("calls", "rate", 100.0, safe=0.1, most=5), Times(), "m0", 2, 0, held=0)
-    assert not one.may(STANDS_US) and not one.need(STANDS_US).settled
-    assert one.may(STANDS_US + SPELL_US) and one.need(STANDS_US + SPELL_US).settled
+    one = LocalLimit(Limit("calls", "rate", 100.0, safe=0.1, most=5), LimitTimes(), "m0", 2, 0, held=0)
+    assert not one.try_acquire(SEND_LIFETIME_US) and not one.build_need(SEND_LIFETIME_US).holdings_known
+    assert (
+        one.try_acquire(SEND_LIFETIME_US + BURST_SPAN_US)
+        and one.build_need(SEND_LIFETIME_US + BURST_SPAN_US).holdings_known
+    )
 
 
 @pytest.mark.parametrize(
@@ -63,18 +68,18 @@
     extra: float | None, most: int, safe: float, sends: int
 ) -> None:
     one = holding(extra, most, safe)
-    times = [at for at in range(0, 10_200_000, 10_000) if one.may(at)]
+    times = [at for at in range(0, 10_200_000, 10_000) if one.try_acquire(at)]
     assert len(times) in (sends, sends + 1)
     if sends == 5:
-        assert min(after - at for at, after in pairwise(times)) >= 2 * STANDS_US
+        assert min(after - at for at, after in pairwise(times)) >= 2 * SEND_LIFETIME_US
 
 
 def test_what_may_be_chance_moves_the_demand_little_and_a_change_at_once() -> None:
     one, told = holding(20.5), []
     for second, asked in enumerate([30, 30, 22, 38, 30, 90, 90, 10, 10], 1):
         for _ in range(asked):
-            one.turned()
-        told.append(one.need(second * SECOND).demand)
+            one.note_refused()
+        told.append(one.build_need(second * SECOND).demand)
     assert max(told[1:5]) - min(told[1:5]) <= 4 and told[5:7] == [90, 90] and told[7:] == [90, 10]
 
 
@@ -84,14 +89,14 @@
     parts: dict[str, float], budget: float, safe: float, free: float
 ) -> None:
     safes, asks = dict.fromkeys(parts, safe), {name: part > 1 for name, part in parts.items()}
-    given_to = Rounding().whole(parts, asks, safes, budget)
-    assert sum(cost(one, safe) for one in given_to.values()) <= budget + 1e-6
+    given_to = Rounding().round_parts(parts, asks, safes, budget)
+    assert sum(extra_cost(one, safe) for one in given_to.values()) <= budget + 1e-6
     assert all(one <= max(1, parts[name] + 1) for name, one in given_to.items())
-    if sum(cost(part, safe) for part in parts.values()) <= budget - len(parts):
+    if sum(extra_cost(part, safe) for part in parts.values()) <= budget - len(parts):
         assert all(one >= int(parts[name]) for name, one in given_to.items())
-    goals = {name: cost(one, safe) for name, one in given_to.items()}
+    goals = {name: extra_cost(one, safe) for name, one in given_to.items()}
     base = {name: goal / 3 for name, goal in goals.items()}
-    extras = raised(goals, base, safes, free)
+    extras = raise_extras(goals, base, safes, free)
     assert sum(max(0.0, one - base[name]) for name, one in extras.items()) <= free + 1e-6
     for name, one in extras.items():
         assert one <= goals[name] + 1e-6 and (one == 0 or abs(safe + one - round(safe + one)) < 1e-6)
@@ -102,7 +107,7 @@
     parts, safes = dict.fromkeys(names, 0.25), dict.fromkeys(names, 0.0125)
     had, moved, last = dict.fromkeys(names, 0), 0, dict.fromkeys(names, 0)
     for _ in range(400):
-        given_to = rounding.whole(parts, dict.fromkeys(names, True), safes, 9.9)
+        given_to = rounding.round_parts(parts, dict.fromkeys(names, True), safes, 9.9)
         assert sum(given_to.values()) == 10
         moved += sum(given_to[name] > last[name] for name in names)
         had, last = {name: had[name] + given_to[name] for name in names}, given_to
@@ -113,8 +118,8 @@
 def test_one_that_asks_is_not_rounded_to_nothing_and_a_flood_does_not_take_all() -> None:
     asks = {"hot": True, "cold": True, "idle": False}
     parts, none = {"hot": 19.8, "cold": 0.1, "idle": 0.1}, dict.fromkeys(asks, 0.0)
-    assert Rounding().whole(parts, asks, none, 20) == {"hot": 19, "cold": 1, "idle": 0}
-    assert Rounding().whole({**parts, "hot": 59.8}, asks, none, 60)["idle"] == 1
+    assert Rounding().round_parts(parts, asks, none, 20) == {"hot": 19, "cold": 1, "idle": 0}
+    assert Rounding().round_parts({**parts, "hot": 59.8}, asks, none, 60)["idle"] == 1
     wants = {"hot": 50_000.0, **{f"m{number}": 30.0 for number in range(11)}}
     assert min(share_rate(wants, 240.0).values()) >= 11
     wants["hot"] = 150.0
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -19,10 +19,10 @@
 from bitternbeam.fleet.record import Record
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.fleet.verdicts.board import VerdictBoard
-from bitternbeam.fleet.verdicts.judges import BookerJudge, DemandJudge, Sentence
+from bitternbeam.fleet.verdicts.detectors import BookerDetector, DemandDetector, Detection
 from bitternbeam.fleet.verdicts.kinds import KINDS
-from bitternbeam.fleet.verdicts.seen import Report, Seen, report_of
-from bitternbeam.fleet.verdicts.settings import Terms
+from bitternbeam.fleet.verdicts.observations import MemberReport, Observations, parse_report
+from bitternbeam.fleet.verdicts.settings import VerdictSettings
 from bitternbeam.fleet.verdicts.verdict import Verdict
 from bitternbeam.net.coordination import KvEntry
 from bitternbeam.wiring.fleet.settings import bench_of
@@ -33,22 +33,20 @@
 
 S = 1_000_000
 WALL = 1_700_000_000_000
-TERMS = Terms()
+TERMS = VerdictSettings()
 
 
 def board() -> VerdictBoard:
     return VerdictBoard(30 * S, 0)
 
 
-def pronounce(on: VerdictBoard, kind: str, one: Sentence, now_us: int) -> None:
+def pronounce(on: VerdictBoard, kind: str, one: Detection, now_us: int) -> None:
     wall_ms = WALL + now_us // 1000
-    on.pronounce(
-        Verdict(kind, one.subject, one.cause, Token(5, "m1"), wall_ms, one.lasts_ms), now_us, wall_ms
-    )
+    on.issue(Verdict(kind, one.subject, one.cause, Token(5, "m1"), wall_ms, one.duration_ms), now_us, wall_ms)
 
 
-def told(*rows: tuple[int, int]) -> dict[str, Report]:
-    return {f"m{place}": Report({"b0": row}) for place, row in enumerate(rows)}
+def told(*rows: tuple[int, int]) -> dict[str, MemberReport]:
+    return {f"m{place}": MemberReport({"b0": row}) for place, row in enumerate(rows)}
 
 
 @pytest.mark.parametrize(
@@ -66,9 +64,9 @@
 def test_a_booker_is_ejected_by_a_quorum_of_those_that_sent_to_it(
     rows: list[tuple[int, int]], ejected: bool
 ) -> None:
-    found = BookerJudge(TERMS).judge(told(*rows), board(), ["b0", "b1", "b2"], 0)
+    found = BookerDetector(TERMS).detect(told(*rows), board(), ["b0", "b1", "b2"], 0)
     assert [one.subject for one in found] == (["b0"] if ejected else [])
-    assert BookerJudge(TERMS).judge(told(*rows), board(), ["b0"], 0) == []  # the only one
+    assert BookerDetector(TERMS).detect(told(*rows), board(), ["b0"], 0) == []  # the only one
 
 
 rows = st.tuples(st.integers(0, 20), st.integers(0, 20)).map(lambda one: (max(one), min(one)))
@@ -80,38 +78,40 @@
 def test_never_so_many_are_ejected_that_the_rest_could_not_bear_it(
     periods: list[list[dict[str, tuple[int, int]]]], share: float
 ) -> None:
-    terms, on = Terms(eject_share=share), board()
+    terms, on = VerdictSettings(eject_share=share), board()
     known = [f"b{one}" for one in range(6)]
     for turn, found in enumerate(periods):
         now = turn * 20 * S  # some are over in between
-        heard = {f"m{place}": Report(one) for place, one in enumerate(found)}
-        for sentence in BookerJudge(terms).judge(heard, on, known, now):
-            assert on.stands("booker", sentence.subject, now) is None
+        heard = {f"m{place}": MemberReport(one) for place, one in enumerate(found)}
+        for sentence in BookerDetector(terms).detect(heard, on, known, now):
+            assert on.active("booker", sentence.subject, now) is None
             pronounce(on, "booker", sentence, now)
-        assert len(on.standing("booker", now)) <= share * 6
+        assert len(on.active_by_subject("booker", now)) <= share * 6
 
 
 def test_one_ejected_again_soon_stays_out_twice_as_long_whoever_judges() -> None:
     on, now, bad = board(), 0, told((9, 9), (9, 9))
     lasted = []
     for _ in range(7):
-        (one,) = BookerJudge(TERMS).judge(bad, on, ["b1", "b2"], now)  # a new judge: it knows its board alone
+        (one,) = BookerDetector(TERMS).detect(
+            bad, on, ["b1", "b2"], now
+        )  # a new judge: it knows its board alone
         pronounce(on, "booker", one, now)
-        lasted.append(one.lasts_ms)
-        assert BookerJudge(TERMS).judge(bad, on, ["b1", "b2"], now + one.lasts_ms * 1000 - 1) == []
-        now += one.lasts_ms * 1000 + 4 * S
+        lasted.append(one.duration_ms)
+        assert BookerDetector(TERMS).detect(bad, on, ["b1", "b2"], now + one.duration_ms * 1000 - 1) == []
+        now += one.duration_ms * 1000 + 4 * S
     assert lasted == [30_000, 60_000, 120_000, 240_000, 480_000, 600_000, 600_000]
-    (one,) = BookerJudge(TERMS).judge(bad, on, ["b1", "b2"], now + 700 * S)
-    assert one.lasts_ms == 30_000
+    (one,) = BookerDetector(TERMS).detect(bad, on, ["b1", "b2"], now + 700 * S)
+    assert one.duration_ms == 30_000
 
 
 @pytest.mark.parametrize("kind", ["tenant", "caller"])
 def test_who_asks_for_a_multiple_of_its_limit_for_long_is_barred(kind: str) -> None:
-    judge, on = DemandJudge(TERMS, kind, {(kind, "acme"): 10.0, ("other", "bolt"): 1.0}), board()
+    judge, on = DemandDetector(TERMS, kind, {(kind, "acme"): 10.0, ("other", "bolt"): 1.0}), board()
 
     def judged(at_s: int, *rates: float) -> list[str]:
-        heard = {f"m{place}": Report({}, {(kind, "acme"): rate}) for place, rate in enumerate(rates)}
-        found = judge.judge(heard, on, at_s * S)
+        heard = {f"m{place}": MemberReport({}, {(kind, "acme"): rate}) for place, rate in enumerate(rates)}
+        found = judge.detect(heard, on, at_s * S)
         for one in found:
             pronounce(on, kind, one, at_s * S)
         return [one.subject for one in found]
@@ -125,20 +125,20 @@
     # Still asking when the verdict is over, it has as long as before to come down.
     assert judged(103, 90) == judged(112, 90) == []
     assert judged(113, 90) == ["acme"]
-    assert on.stands(kind, "acme", 113 * S + 119 * S) is not None
+    assert on.active(kind, "acme", 113 * S + 119 * S) is not None
 
 
 def test_a_report_covers_the_attempts_of_its_while_and_begins_anew_with_a_verdict() -> None:
-    seen = Seen(2, [("caller", "c1")], 0)
+    seen = Observations(2, [("caller", "c1")], 0)
     for turn in range(3):
-        seen.ended("b0", late=turn == 0)
-        seen.offered("caller", "c1")
-        seen.offered("caller", "c2")
-        assert seen.report((turn + 1) * S // 2)["demand"] == {"caller": {"c1": 2.0}}
-    assert seen.report(2 * S) == {"bookers": {"b0": [1, 0]}, "demand": {}, "bad": {}}
-    seen.ended("b0", late=True)
-    seen.judged("booker", "b0")
-    assert seen.report(3 * S)["bookers"] == {}
+        seen.count_attempt("b0", unanswered=turn == 0)
+        seen.count_offer("caller", "c1")
+        seen.count_offer("caller", "c2")
+        assert seen.build_report((turn + 1) * S // 2)["demand"] == {"caller": {"c1": 2.0}}
+    assert seen.build_report(2 * S) == {"bookers": {"b0": [1, 0]}, "demand": {}, "bad": {}}
+    seen.count_attempt("b0", unanswered=True)
+    seen.reset_subject("booker", "b0")
+    assert seen.build_report(3 * S)["bookers"] == {}
 
 
 @pytest.mark.parametrize(
@@ -158,8 +158,8 @@
 )
 def test_a_report_of_another_form_is_none(change: dict[str, Any]) -> None:
     good = {"bookers": {"b0": [2, 1]}, "demand": {"caller": {"c1": 1.5}}, "bad": {"c0ffee": "why"}}
-    assert report_of(good) is not None
-    assert report_of(good | change) is None
+    assert parse_report(good) is not None
+    assert parse_report(good | change) is None
 
 
 # On a member.
@@ -188,7 +188,7 @@
     """Hand a member's record to others, as the watch shows it."""
     for other in to:
         now = other.bench.deadlines.now_us()
-        text = Record(token, now // 1000, one.board.value(kind)).text()
+        text = Record(token, now // 1000, one.board.record_value(kind)).text()
         entry = KvEntry(text, 1, 1, None)
         other.kept[kind].shown({one.kept[kind].key: entry}, now)
 
@@ -257,7 +257,7 @@
     homes = [Home(), Home(), Home()]
     first, second, third = (extension(home, f"m{place}") for place, home in enumerate(homes))
     token = lead(first, "tenant", 7)
-    first.kept["tenant"].judge = lambda: [Sentence("acme", "floods", 60_000)]
+    first.kept["tenant"].judge = lambda: [Detection("acme", "floods", 60_000)]
     first.kept["tenant"].act(token, 0)
     publish(first, "tenant", token, second)
     assert second.reports(0)["kept"] == {}  # the record has it
@@ -270,7 +270,7 @@
         third.bounds.offered(offer("acme"), S) is not None and third.bounds.offered(offer("bolt"), S) is None
     )
     assert third.kept["tenant"].claim.seen >= 7
-    assert [row[0] for row in third.board.value("tenant")["rows"]] == ["acme"]
+    assert [row[0] for row in third.board.record_value("tenant")["rows"]] == ["acme"]
 
 
 def offer(number: str) -> Offer:
@@ -282,7 +282,7 @@
     one = extension(home, "m1")
     for kind, subject in (("tenant", "acme"), ("booker", "b0")):
         token = lead(one, kind, 2)
-        one.kept[kind].judge = lambda subject=subject: [Sentence(subject, "why", 30_000)]
+        one.kept[kind].judge = lambda subject=subject: [Detection(subject, "why", 30_000)]
         one.kept[kind].act(token, 0)
     assert one.bounds.offered(offer("acme"), 10 * S) == 20 * S
     assert one.bounds.dry(offer("x"), 29 * S) == {"b0"} and one.bounds.may_send(
@@ -299,9 +299,9 @@
     home = Home()
     first, late = extension(Home(), "m1"), extension(home, "m2")
     token = lead(first, "tenant", 7)
-    first.kept["tenant"].judge = lambda: [Sentence("acme", "floods", 60_000)]
+    first.kept["tenant"].judge = lambda: [Detection("acme", "floods", 60_000)]
     first.kept["tenant"].act(token, first.bench.deadlines.now_us())
-    text = Record(token, first.bench.deadlines.now_us() // 1000, first.board.value("tenant")).text()
+    text = Record(token, first.bench.deadlines.now_us() // 1000, first.board.record_value("tenant")).text()
     home.waker.wait(40 * S)
     now = late.bench.deadlines.now_us()
     late.kept["tenant"].shown({late.kept["tenant"].key: KvEntry(text, 1, 1, None)}, now)
@@ -315,7 +315,7 @@
     for booker in ("b0", "b1"):
         one.bounds.late(booker)
     token = lead(one, "booker", 1)
-    one.kept["booker"].judge = lambda: [Sentence("b0", "why", 30_000)]
+    one.kept["booker"].judge = lambda: [Detection("b0", "why", 30_000)]
     one.kept["booker"].act(token, 0)
     assert list(one.reports(S)["bookers"]) == ["b1"]
 
@@ -323,11 +323,11 @@
 @pytest.mark.parametrize("subject", ["acme", "bolt"])
 def test_an_owner_that_ranks_below_the_board_takes_a_higher_token(subject: str) -> None:
     one = extension(Home(), "m1")
-    one.board.take(Verdict("tenant", "acme", "floods", Token(9, "m9"), 0, 1_000), 0, 0)
+    one.board.add(Verdict("tenant", "acme", "floods", Token(9, "m9"), 0, 1_000), 0, 0)
     token = lead(one, "tenant", 3)
-    one.kept["tenant"].judge = lambda: [Sentence(subject, "floods", 2_000)]
+    one.kept["tenant"].judge = lambda: [Detection(subject, "floods", 2_000)]
     one.kept["tenant"].act(token, 1_500_000)
-    assert one.kept["tenant"].claim.seen >= 9 and one.board.stands("tenant", subject, 1_500_000) is None
+    assert one.kept["tenant"].claim.seen >= 9 and one.board.active("tenant", subject, 1_500_000) is None
 
 
 BAD = """[fleet]
@@ -367,4 +367,4 @@
 
 
 def test_each_kind_that_is_judged_is_one_that_is_known() -> None:
-    assert set(TERMS.kinds) == set(KINDS) and replace(TERMS).lasts_ms("tenant") == TERMS.bar_ms
+    assert set(TERMS.kinds) == set(KINDS) and replace(TERMS).first_duration_ms("tenant") == TERMS.bar_ms
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -13,7 +13,7 @@
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.fleet.verdicts.board import VerdictBoard
 from bitternbeam.fleet.verdicts.kinds import KINDS
-from bitternbeam.fleet.verdicts.verdict import Verdict, verdict_of, verdicts_of
+from bitternbeam.fleet.verdicts.verdict import Verdict, parse_verdict, parse_verdicts
 
 WALL = 1_700_000_000_000
 ONE = Verdict("tenant", "acme", "unpaid", Token(5, "m1"), WALL, 60_000)
@@ -36,70 +36,72 @@
 def test_members_that_heard_the_same_hold_the_same(heard: list[Verdict], rng: Any, later_ms: int) -> None:
     first, second = VerdictBoard(1_000_000, 0), VerdictBoard(1_000_000, 0)
     for one in heard:
-        first.take(one, 0, WALL)
+        first.add(one, 0, WALL)
     for one in rng.sample(heard, len(heard)) + heard[:2]:
-        second.take(one, 0, WALL)
-    second.shown("tenant", first.value("tenant"), 0, WALL)
+        second.add(one, 0, WALL)
+    second.read_record("tenant", first.record_value("tenant"), 0, WALL)
     for subject in ("acme", "bolt"):
         at_us = later_ms * 1000
-        stands = first.stands("tenant", subject, at_us)
-        assert stands == second.stands("tenant", subject, at_us)
+        stands = first.active("tenant", subject, at_us)
+        assert stands == second.active("tenant", subject, at_us)
         # None outlives its expiry by more than clocks may differ, and the highest in order is the one.
         if stands is not None:
-            assert stands.ends_ms + SKEW_MS > WALL + later_ms
-            assert stands.order == max(one.order for one in heard if one.subject == subject)
+            assert stands.expires_ms + SKEW_MS > WALL + later_ms
+            assert stands.precedence == max(one.precedence for one in heard if one.subject == subject)
 
 
 @pytest.mark.parametrize(
     ("change", "wall_ms", "heard"),
     [
         ({}, WALL, Heard.NEW),
-        ({"at_ms": WALL + SKEW_MS + 1}, WALL, Heard.FUTURE),
-        ({}, WALL + KINDS["tenant"].most_ms + SKEW_MS + 1, Heard.OLD),
+        ({"issued_ms": WALL + SKEW_MS + 1}, WALL, Heard.FUTURE),
+        ({}, WALL + KINDS["tenant"].max_duration_ms + SKEW_MS + 1, Heard.OLD),
         ({"kind": "nothing"}, WALL, Heard.MALFORMED),
-        ({"lasts_ms": KINDS["tenant"].most_ms + 1}, WALL, Heard.MALFORMED),
+        ({"duration_ms": KINDS["tenant"].max_duration_ms + 1}, WALL, Heard.MALFORMED),
     ],
 )
 def test_what_a_board_turns_down_is_counted(change: dict[str, Any], wall_ms: int, heard: Heard) -> None:
     board = VerdictBoard(1_000_000, 0)
-    assert board.take(replace(ONE, **change), 0, wall_ms) is heard
-    assert board.refused == ({} if heard is Heard.NEW else {str(heard): 1})
+    assert board.add(replace(ONE, **change), 0, wall_ms) is heard
+    assert board.rejected == ({} if heard is Heard.NEW else {str(heard): 1})
 
 
 def test_one_that_comes_late_ends_with_the_others() -> None:
     board = VerdictBoard(1_000_000, 0)
-    board.take(ONE, 0, WALL + 59_000)  # from an engine that went back, or a link that was cut
-    assert board.stands("tenant", "acme", 2_900_000) == ONE
-    assert board.stands("tenant", "acme", 3_000_000) is None
+    board.add(ONE, 0, WALL + 59_000)  # from an engine that went back, or a link that was cut
+    assert board.active("tenant", "acme", 2_900_000) == ONE
+    assert board.active("tenant", "acme", 3_000_000) is None
 
 
 def test_a_lift_stands_above_and_an_owner_below_the_board_is_told() -> None:
     board = VerdictBoard(1_000_000, 0)
-    board.take(ONE, 0, WALL)
-    low = replace(ONE, token=Token(4, "m2"), lifts=True)
-    assert board.pronounce(low, 0, WALL) is None and board.highest("tenant") == Token(5, "m1")
-    lift = board.pronounce(replace(low, token=Token(6, "m2")), 0, WALL)
-    assert lift is not None and board.bars("tenant", "acme", 1) == ""
-    assert board.take(ONE, 0, WALL) is Heard.STALE
-    again = board.pronounce(replace(ONE, token=Token(6, "m2")), 0, WALL)
-    assert again is not None and board.bars("tenant", "acme", 1) == "unpaid"
+    board.add(ONE, 0, WALL)
+    low = replace(ONE, token=Token(4, "m2"), is_lift=True)
+    assert board.issue(low, 0, WALL) is None and board.highest_token("tenant") == Token(5, "m1")
+    lift = board.issue(replace(low, token=Token(6, "m2")), 0, WALL)
+    assert lift is not None and board.denial_reason("tenant", "acme", 1) == ""
+    assert board.add(ONE, 0, WALL) is Heard.STALE
+    again = board.issue(replace(ONE, token=Token(6, "m2")), 0, WALL)
+    assert again is not None and board.denial_reason("tenant", "acme", 1) == "unpaid"
 
 
 def test_each_kind_fails_its_way_when_nothing_is_heard() -> None:
     board = VerdictBoard(1_000_000, 0)
     for name, kind in KINDS.items():
-        assert kind.why and board.bars(name, "x", 0) == ("unheard" if kind.fails == "shut" else "")
-        board.shown(name, {"kind": name, "rows": []}, 0, WALL)
-        assert board.bars(name, "x", 1_000_000) == ""
-        assert bool(board.bars(name, "x", 1_000_001)) is (kind.fails == "shut")
+        assert kind.reason and board.denial_reason(name, "x", 0) == (
+            "unheard" if kind.failure_mode == "shut" else ""
+        )
+        board.read_record(name, {"kind": name, "rows": []}, 0, WALL)
+        assert board.denial_reason(name, "x", 1_000_000) == ""
+        assert bool(board.denial_reason(name, "x", 1_000_001)) is (kind.failure_mode == "shut")
 
 
 @pytest.mark.parametrize("at", range(7))
 @pytest.mark.parametrize("bad", [None, -1, "", [], True, 1.5])
 def test_a_row_of_another_form_is_none(at: int, bad: Any) -> None:
-    row = ONE.row()
-    assert verdict_of("tenant", row) == ONE
+    row = ONE.to_row()
+    assert parse_verdict("tenant", row) == ONE
     row[at] = bad
-    read = verdict_of("tenant", row)
+    read = parse_verdict("tenant", row)
     assert read is None or (at == 6 and bad is True)
-    assert verdicts_of({"kind": "tenant", "rows": [ONE.row(), row]}) is None or read is not None
+    assert parse_verdicts({"kind": "tenant", "rows": [ONE.to_row(), row]}) is None or read is not None
