--- a/bitternbeam/configuration/probation.py
+++ b/bitternbeam/configuration/probation.py
@@ -177,4 +177,4 @@
 
 def allows(tiers: tuple[Tier, ...] | None, booker: str, cell: int) -> bool:
     """Tell whether a call may go to a booker."""
-    return tiers is None or any(tier.holds(booker, cell) for tier in tiers)
+    return tiers is None or any(tier.contains(booker, cell) for tier in tiers)
--- a/bitternbeam/core/control.py
+++ b/bitternbeam/core/control.py
@@ -109,7 +109,7 @@
                 redial=offer.redial,
                 again=offer.again,
                 allowed=allowed,
-                attempts=call.plan.attempts,
+                max_attempts=call.plan.attempts,
             )
         )
 
@@ -160,7 +160,7 @@
             self.bounds.answered(attempt.booker, self.clock.now_us())
         call.front.answered(call.offer.ref, body)
         took_us = self.clock.now_us() - attempt.sent_us
-        self.feed.put(api.Stands(call.offer.uid, attempt.number, attempt.booker, took_us))
+        self.feed.put(api.AttemptAnswered(call.offer.uid, attempt.number, attempt.booker, took_us))
         return True
 
     def may_write(self, attempt: Attempt) -> bool:
@@ -267,7 +267,7 @@
             if call.out is None:  # else that one's outcome will come
                 self._never_sent(uid, number, switch, finished=False)
             return
-        left_us = min(action.give_up_us or call.end_us - now_us, call.end_us - now_us)
+        left_us = min(action.timeout_us or call.end_us - now_us, call.end_us - now_us)
         started_us = self.listing.started_us(switch)
         attempt = Attempt(call.handle, number, switch, call.offer, left_us, now_us, started_us)
         call.out, call.booker = attempt, switch
--- a/bitternbeam/core/listing.py
+++ b/bitternbeam/core/listing.py
@@ -47,7 +47,7 @@
     def allows(self, plan: Plan, booker: str) -> bool:
         """Tell whether a call's version lets it go to a booker."""
         cell = self.cells.get(booker, -1)
-        return plan.allowed is None or any(tier.holds(booker, cell) for tier in plan.allowed)
+        return plan.allowed is None or any(tier.contains(booker, cell) for tier in plan.allowed)
 
     def room(self, plan: Plan, dry: frozenset[str]) -> bool:
         """Tell whether some booker that a call may go to is not dry."""
@@ -64,7 +64,7 @@
         return tuple(
             Tier(
                 {name: weight for name, weight in tier.switches.items() if name not in dry},
-                tier.cells, tier.shut | dry, tier.weights,
+                tier.cells, tier.excluded | dry, tier.weights,
             )
             for tier in allowed
         )  # fmt: skip
--- a/bitternbeam/core/table.py
+++ b/bitternbeam/core/table.py
@@ -98,7 +98,7 @@
         if isinstance(action, api.Refuse):
             self.counters.add("answers.refused")
             self.figures.count("shed", call.offer.call_class)
-            call.front.refused(call.offer.ref, action.stay_away_us)
+            call.front.refused(call.offer.ref, action.retry_after_us)
         else:
             self.counters.add("answers.failed")
             self.figures.count("errors", call.offer.call_class)
@@ -183,7 +183,7 @@
                 finished=call.state is State.OVER,
                 processor_full=end.processor_full,
                 no_line=end.no_line,
-                spoilt=end.spoilt,
+                connection_fault=end.spoilt,
                 report=end.report,
             )
         )
@@ -197,7 +197,7 @@
 
     def forget(self, call: Call) -> None:
         """Keep a call no more, once nothing is owed and nothing is out."""
-        if call.state is State.OVER and call.out is None and self.calls.take(call.handle):
+        if call.state is State.OVER and call.out is None and self.calls.pop(call.handle):
             self.by_uid.pop(call.offer.uid, None)
             self._hold(call.offer.uid, call.held_until_us)
             if self.idle:
--- a/bitternbeam/decision/chance.py
+++ b/bitternbeam/decision/chance.py
@@ -12,21 +12,21 @@
 
 from math import log, sqrt
 
-SMALL = 30  # requests: from here on the slack of a server in slow start is the smaller one
+SLACK_STEP_REQUESTS = 30  # requests: from here on the slack of a server in slow start is the smaller one
 
 
-def planned(bound: float, chance: float) -> float:
+def planned_mean(bound: float, chance: float) -> float:
     """Return the largest mean of a sum of independent counts that passes a bound with that chance at most."""
     doubt = log(1 / chance)
     return bound + 2 / 3 * doubt - sqrt((2 / 3 * doubt) ** 2 + 2 * doubt * bound)
 
 
-def planned_part(windows: float, chance: float) -> float:
+def planned_share(windows: float, chance: float) -> float:
     """Return the part of N that all processes together may plan for in a window of a slow start.
 
     N requests are allowed with a slack of 2 * sqrt(N) + 2 (3 * sqrt(N) + 3 for N under 30). No process knows
     N, as it sees only its own share of the traffic. So the part is that of the N which leaves the least
     room, 30, where the slack steps down. The chance is that of one slow start, shared out over its windows.
     """
-    bound = SMALL + 2 * sqrt(SMALL) + 2
-    return planned(bound, min(0.5, chance / max(1.0, windows))) / SMALL
+    bound = SLACK_STEP_REQUESTS + 2 * sqrt(SLACK_STEP_REQUESTS) + 2
+    return planned_mean(bound, min(0.5, chance / max(1.0, windows))) / SLACK_STEP_REQUESTS
--- a/bitternbeam/decision/handover.py
+++ b/bitternbeam/decision/handover.py
@@ -19,14 +19,30 @@
 from bitternbeam.decision.state import Group, Switch
 
 FORMAT = 3
-OLD_US = 5_000_000  # what was written longer ago is no longer true
-SKEW_US = 100_000
-
-PLAIN = ("budget", "largest", "rate", "wait_us", "errors", "phase")  # numbers, 0 or more
-TIMES = ("started_us", "wait_at_us", "suspect_since_us", "paced_us")
-MAYBE = ("cold_since_us", "base_us", "free", "size")  # numbers or None
-RATES = ("answered", "arrived", "weight")  # of the gateway
-FLAGS = ("suspect", "may_be_dead", "says_high")
+MAX_AGE_US = 5_000_000  # what was written longer ago is no longer true
+MAX_CLOCK_SKEW_US = 100_000
+
+NUMBER_KEYS = ("budget", "largest", "rate", "wait_us", "errors", "phase")  # numbers, 0 or more
+TIME_KEYS = ("started_us", "wait_at_us", "suspect_since_us", "paced_us")
+OPTIONAL_KEYS = ("cold_since_us", "base_us", "free", "size")  # numbers or None
+RATE_KEYS = ("answered", "arrived", "weight")  # of the gateway
+FLAG_KEYS = ("suspect", "may_be_dead", "says_high")
+
+# Attributes of Switch, by their stored keys where these differ.
+ATTRIBUTES = {
+    "largest": "largest_budget",
+    "rate": "send_rate",
+    "errors": "error_share",
+    "phase": "gap_phase",
+    "paced_us": "gap_start_us",
+    "cold_since_us": "slow_start_since_us",
+    "base_us": "min_setup_us",
+    "free": "free_lines",
+    "size": "total_lines",
+    "says_high": "reports_overload",
+    "asked": "demand",
+    "pressed": "throttled_intervals",
+}
 
 
 def digest(settings: Settings, program: str) -> str:
@@ -38,34 +54,37 @@
     return [[name, within, round(count, 4)] for (name, within), count in counts.items() if count]
 
 
-def taken(module: Controller, now_us: int, agreed: str) -> dict[str, Any]:
+def export_state(controller: Controller, now_us: int, agreed: str) -> dict[str, Any]:
     """Return what a module has learned, as JSON carries it."""
     switches = {}
-    for one in module.switches.values():
-        row = {key: getattr(one, key) for key in (*PLAIN, *TIMES, *MAYBE, *FLAGS, "cell", "pressed")}
-        switches[one.name] = row | {"asked": _groups(one.asked)}
+    for switch in controller.switches.values():
+        row = {
+            key: getattr(switch, ATTRIBUTES.get(key, key))
+            for key in (*NUMBER_KEYS, *TIME_KEYS, *OPTIONAL_KEYS, *FLAG_KEYS, "cell", "pressed")
+        }
+        switches[switch.name] = row | {"asked": _groups(switch.demand)}
     return {
         "format": FORMAT,
         "agreed": agreed,
         "at_us": now_us,
-        "answered": module.answered,
-        "arrived": module.arrived,
-        "weight": module.weight,
-        "stood_in": [[cell, count] for cell, count in module.stood_in.items()],
-        "seen": _groups(module.seen),
+        "answered": controller.answered_calls,
+        "arrived": controller.arrived_calls,
+        "weight": controller.observed_intervals,
+        "stood_in": [[cell, count] for cell, count in controller.answered_by_cell.items()],
+        "seen": _groups(controller.group_counts),
         "switches": switches,
     }
 
 
-class MisfitError(ValueError):
+class StateMismatchError(ValueError):
     """A state that can't be taken; the text says why, on one line."""
 
 
 def _number(value: Any, least: float = 0.0) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise MisfitError("a figure is no number")
+        raise StateMismatchError("a figure is no number")
     if value < least:
-        raise MisfitError("a figure is out of range")
+        raise StateMismatchError("a figure is out of range")
     return value
 
 
@@ -73,7 +92,7 @@
     found = {}
     for name, within, count in rows:
         if name not in kinds or not isinstance(within, bool):
-            raise MisfitError("a class is not in the settings")
+            raise StateMismatchError("a class is not in the settings")
         found[(name, within)] = float(_number(count))
     return found
 
@@ -82,55 +101,55 @@
     """Read one switch's row; returns what to set, {} where it is not the same process any more."""
     if raw["cell"] != into.cell or raw["started_us"] != into.started_us:
         return {}  # replaced between the two: what was learned is of another one
-    found: dict[str, Any] = {key: float(_number(raw[key])) for key in PLAIN}
-    found |= {key: int(_number(raw[key], -math.inf)) for key in TIMES}
-    found |= {key: None if raw[key] is None else _number(raw[key], -math.inf) for key in MAYBE}
-    for key in FLAGS:
+    found: dict[str, Any] = {key: float(_number(raw[key])) for key in NUMBER_KEYS}
+    found |= {key: int(_number(raw[key], -math.inf)) for key in TIME_KEYS}
+    found |= {key: None if raw[key] is None else _number(raw[key], -math.inf) for key in OPTIONAL_KEYS}
+    for key in FLAG_KEYS:
         if not isinstance(raw[key], bool):
-            raise MisfitError("a flag is none")
+            raise StateMismatchError("a flag is none")
         found[key] = raw[key]
     found["pressed"] = int(_number(raw["pressed"]))
     found["asked"] = _read_groups(raw["asked"], kinds)
     return found
 
 
-def given(module: Controller, raw: Any, now_us: int, agreed: str) -> int:
+def import_state(module: Controller, raw: Any, now_us: int, agreed: str) -> int:
     """Let a module go on from a state; returns of how many switches. A MisfitError changes nothing."""
     try:
         if raw["format"] != FORMAT:
-            raise MisfitError("it is of another form")
+            raise StateMismatchError("it is of another form")
         if raw["agreed"] != agreed:
-            raise MisfitError("it is of another program version or other settings")
+            raise StateMismatchError("it is of another program version or other settings")
         at_us = int(_number(raw["at_us"]))
-        if at_us > now_us + SKEW_US:
-            raise MisfitError("it is from the future")
-        if now_us - at_us > OLD_US:
-            raise MisfitError(f"it is {(now_us - at_us) / 1e6:.1f} s old")
-        rates = {key: float(_number(raw[key])) for key in RATES}
+        if at_us > now_us + MAX_CLOCK_SKEW_US:
+            raise StateMismatchError("it is from the future")
+        if now_us - at_us > MAX_AGE_US:
+            raise StateMismatchError(f"it is {(now_us - at_us) / 1e6:.1f} s old")
+        rates = {key: float(_number(raw[key])) for key in RATE_KEYS}
         stood_in = {int(cell): int(_number(count)) for cell, count in raw["stood_in"]}
-        seen = _read_groups(raw["seen"], module.kinds)
+        seen = _read_groups(raw["seen"], module.classes_by_name)
         rows = {
-            one.name: _read_switch(raw["switches"][one.name], one, module.kinds)
+            one.name: _read_switch(raw["switches"][one.name], one, module.classes_by_name)
             for one in module.switches.values()
             if one.name in raw["switches"]
         }
-    except MisfitError:
+    except StateMismatchError:
         raise
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise MisfitError(f"it is not whole ({type(error).__name__})") from None
+        raise StateMismatchError(f"it is not whole ({type(error).__name__})") from None
     # Danger: what was seen without the time it was seen in would count as one interval's calls.
-    module.answered, module.arrived, module.weight = (rates[key] for key in RATES)
-    module.stood_in = {**module.stood_in, **stood_in}
-    module.seen.update(seen)
-    count = 0
+    module.answered_calls, module.arrived_calls, module.observed_intervals = (rates[key] for key in RATE_KEYS)
+    module.answered_by_cell = {**module.answered_by_cell, **stood_in}
+    module.group_counts.update(seen)
+    restored = 0
     for name, row in rows.items():
         switch = module.switches[name]
         for key, value in row.items():
             if key == "asked":
-                switch.asked.update(value)
+                switch.demand.update(value)
             else:
-                setattr(switch, key, value)
+                setattr(switch, ATTRIBUTES.get(key, key), value)
         if row:
-            count += 1
-            module.active[name] = switch
-    return count
+            restored += 1
+            module.active_switches[name] = switch
+    return restored
--- a/bitternbeam/decision/interface.py
+++ b/bitternbeam/decision/interface.py
@@ -1,7 +1,4 @@
-"""The types between a gateway and its controller: settings, events and actions.
-
-Times are integers in microseconds on the gateway's own clock. Nothing here decides anything.
-"""
+"""Types exchanged with the controller: settings, events and actions; times are microseconds."""
 
 from __future__ import annotations
 
@@ -128,13 +125,13 @@
 class Report:
     """What a core switch says of its processor; None where it does not say."""
 
-    waiting: float | None = None  # set-ups in line
+    queue_length: float | None = None  # set-ups in line
     wait_ms: float | None = None
-    busy: float | None = None  # share of the processor, 0 to 1
-    can_take: float | None = None  # new set-ups a second from all gateways
-    hold_back: float | None = None  # share of new set-ups to withhold, 0 to 1
-    free: float | None = None  # lines
-    size: float | None = None  # lines in all
+    utilization: float | None = None  # share of the processor, 0 to 1
+    capacity_per_s: float | None = None  # new set-ups a second from all gateways
+    shed_share: float | None = None  # share of new set-ups to withhold, 0 to 1
+    free_lines: float | None = None  # lines
+    total_lines: float | None = None  # lines in all
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,12 +148,12 @@
 
     switches: Mapping[str, float]  # by name, with their weights
     cells: frozenset[int] = frozenset()
-    shut: frozenset[str] = frozenset()  # not to be used, whatever their cell
+    excluded: frozenset[str] = frozenset()  # not to be used, whatever their cell
     weights: Mapping[str, float] = field(default_factory=dict)  # of those in the cells; 1 unless said
 
-    def holds(self, switch: str, cell: int) -> bool:
+    def contains(self, switch: str, cell: int) -> bool:
         """Tell whether a switch belongs to it."""
-        return switch in self.switches or (cell in self.cells and switch not in self.shut)
+        return switch in self.switches or (cell in self.cells and switch not in self.excluded)
 
     def weight(self, switch: str) -> float:
         """Return a switch's weight."""
@@ -176,13 +173,13 @@
     redial: bool = False
     transit: bool = False
     again: bool = False
-    advice: int | None = None  # cell a centre saw most room at
+    suggested_cell: int | None = None  # cell a centre saw most room at
     allowed: tuple[Tier, ...] | None = None  # in order of preference; None: any switch
-    attempts: int | None = None  # at the most; None: as the settings say
+    max_attempts: int | None = None  # at the most; None: as the settings say
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class AttemptAnswered:
     """An attempt was answered: the call stands until it ends."""
 
     call: str
@@ -204,7 +201,7 @@
     processor_full: bool = False
     no_line: bool = False  # every line of the switch was taken
     wait_hint_ms: int = 0
-    spoilt: bool = False  # cut by its connection alone, which tells nothing of the switch
+    connection_fault: bool = False  # cut by its connection alone, which tells nothing of the switch
     report: Report | None = None
 
 
@@ -233,13 +230,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another gateway."""
+    """A message of another instance."""
 
     peer: int
     data: bytes
 
 
-Event = ListEvent | NewCall | Stands | AttemptEnded | Withdrawn | TimerDue | ProbeAnswer | PeerMessage
+Event = (
+    ListEvent | NewCall | AttemptAnswered | AttemptEnded | Withdrawn | TimerDue | ProbeAnswer | PeerMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -248,7 +247,7 @@
 
     call: str
     switch: str
-    give_up_us: int
+    timeout_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -256,7 +255,7 @@
     """Final answer: turned away; stay_away_us is advice, 0 for none."""
 
     call: str
-    stay_away_us: int = 0
+    retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/bitternbeam/drill.py
+++ b/bitternbeam/drill.py
@@ -55,7 +55,7 @@
             raise WireError(f"value {name!r} is missing")
         return self.values[name]
 
-    def whole(self, name: str, absent: int | None = None) -> int:
+    def integer(self, name: str, absent: int | None = None) -> int:
         """Return a whole number; absent is what the wire means by leaving it out."""
         if absent is not None and name not in self.values:
             return absent
@@ -72,7 +72,7 @@
             raise WireError(f"value {name!r} is neither 0 nor 1: {text!r}")
         return text == "1"
 
-    def word(self, name: str, words: dict[str, T]) -> T:
+    def choice(self, name: str, words: dict[str, T]) -> T:
         """Return what a listed word stands for."""
         text = self.text(name)
         if text not in words:
@@ -99,32 +99,32 @@
 def read_event(word: str, fields: Fields) -> api.Event:
     """Turn one instance's line into an event (lists are read by the host)."""
     if word == "CALL":
-        advice = fields.whole("hop", absent=-1)
+        advice = fields.integer("hop", absent=-1)
         return api.NewCall(
             call=fields.text("corr"),
             call_class=fields.text("class"),
-            cell=fields.whole("terminates_at"),
-            left_us=fields.whole("grace_us"),
+            cell=fields.integer("terminates_at"),
+            left_us=fields.integer("grace_us"),
             number=fields.values.get("item", ""),
             tenant=fields.values.get("billing"),
             redial=fields.flag("retry"),
             transit=fields.flag("transit"),
             again=fields.flag("again"),
-            advice=None if advice < 0 else advice,
+            suggested_cell=None if advice < 0 else advice,
         )
     if word == "ACCEPTED":
-        return api.Stands(
-            fields.text("corr"), fields.whole("trial"), fields.text("switch"), fields.whole("elapsed_us")
+        return api.AttemptAnswered(
+            fields.text("corr"), fields.integer("trial"), fields.text("switch"), fields.integer("elapsed_us")
         )
     if word == "RETURNED":
-        cause = fields.whole("cause", absent=0)
+        cause = fields.integer("cause", absent=0)
         full = cause & 15 == 3 or cause in FULL_CAUSES
         return api.AttemptEnded(
             call=fields.text("corr"),
-            attempt=fields.whole("trial"),
+            attempt=fields.integer("trial"),
             switch=fields.text("switch"),
-            outcome=fields.word("rc", OUTCOMES),
-            took_us=fields.whole("elapsed_us"),
+            outcome=fields.choice("rc", OUTCOMES),
+            took_us=fields.integer("elapsed_us"),
             finished=fields.flag("last"),
             processor_full=full,
             no_line=cause == 1,
@@ -134,11 +134,11 @@
     if word == "WITHDRAWN":
         return api.Withdrawn(fields.text("corr"))
     if word == "TIMER":
-        return api.TimerDue(fields.whole("ref"))
+        return api.TimerDue(fields.integer("ref"))
     if word == "PROBE_DONE":
-        served = fields.word("rc", OUTCOMES) is api.Outcome.SERVED
+        served = fields.choice("rc", OUTCOMES) is api.Outcome.SERVED
         return api.ProbeAnswer(
-            fields.text("switch"), fields.whole("elapsed_us"), fields.report() if served else None
+            fields.text("switch"), fields.integer("elapsed_us"), fields.report() if served else None
         )
     if word == "PEER_DATA":
         octets = fields.text("octets")
@@ -146,7 +146,7 @@
             data = b"" if octets == "-" else base64.b64decode(octets, validate=True)
         except ValueError:
             raise WireError(f"value 'octets' is not base64: {octets!r}") from None
-        return api.PeerMessage(fields.whole("origin_peer"), data)
+        return api.PeerMessage(fields.integer("origin_peer"), data)
     raise WireError(f"unknown message {word!r}")
 
 
@@ -154,11 +154,11 @@
     """Turn an action into its line."""
     if isinstance(action, api.Send):
         return (
-            f"CALL_OUT who={who} corr={action.call} give_up_after_us={action.give_up_us} "
+            f"CALL_OUT who={who} corr={action.call} give_up_after_us={action.timeout_us} "
             f"switch={action.switch}"
         )
     if isinstance(action, api.Refuse):
-        return f"SHED who={who} corr={action.call} stay_away_us={action.stay_away_us}"
+        return f"SHED who={who} corr={action.call} stay_away_us={action.retry_after_us}"
     if isinstance(action, api.Fail):
         return f"REPORT_FAILURE who={who} corr={action.call}"
     if isinstance(action, api.Cancel):
@@ -172,23 +172,23 @@
     return f"RECORD who={who} what={' '.join(action.text.split())}"
 
 
-class Host:
+class InstanceHost:
     """The instances of one process and the numbered lists it was given."""
 
     def __init__(self) -> None:
         """Start with nothing."""
         self.instances: dict[str, Controller] = {}
-        self.banks: dict[int, tuple[api.SwitchEntry, ...]] = {}
+        self.lists: dict[int, tuple[api.SwitchEntry, ...]] = {}
 
-    def take(self, now_us: int, line: str, lines: Iterator[str]) -> list[str]:
+    def handle_line(self, now_us: int, line: str, lines: Iterator[str]) -> list[str]:
         """Handle one line of a batch; a list takes its entries from the lines that follow."""
         word, _, rest = line.partition(" ")
         if word == "BEGIN":
-            return self.begin(now_us, rest)
+            return self.start_instance(now_us, rest)
         fields = Fields(rest.split(" ") if rest else [])
         if word == "TABLE":
-            count = fields.whole("records")
-            self.banks[fields.whole("bank")] = tuple(read_entry(next(lines, "")) for _ in range(count))
+            count = fields.integer("records")
+            self.lists[fields.integer("bank")] = tuple(read_entry(next(lines, "")) for _ in range(count))
             return []
         who = fields.text("who")
         if word == "STOP":
@@ -197,26 +197,26 @@
         if who not in self.instances:
             raise WireError(f"instance {who!r} was never started")
         if word == "DIRECTORY_UPDATE":
-            kind = fields.word("mode", KINDS)
-            bank = -1 if kind is api.ListKind.FAILED else fields.whole("bank")
-            if bank >= 0 and bank not in self.banks:
+            kind = fields.choice("mode", KINDS)
+            bank = -1 if kind is api.ListKind.FAILED else fields.integer("bank")
+            if bank >= 0 and bank not in self.lists:
                 raise WireError(f"list {bank} was never given")
-            event: api.Event = api.ListEvent(kind, self.banks[bank] if bank >= 0 else ())
+            event: api.Event = api.ListEvent(kind, self.lists[bank] if bank >= 0 else ())
         else:
             event = read_event(word, fields)
-        return self.decide(who, now_us, event)
+        return self.run_decision(who, now_us, event)
 
-    def begin(self, now_us: int, rest: str) -> list[str]:
+    def start_instance(self, now_us: int, rest: str) -> list[str]:
         """Start an instance; its settings run to the end of the line."""
         head, mark, text = rest.partition("params=")
         if not mark:
             raise WireError("value 'params' is missing")
         fields = Fields(head.split())
         who = fields.text("who")
-        self.instances[who] = Controller(read_settings(text), fields.whole("entropy"))
+        self.instances[who] = Controller(read_settings(text), fields.integer("entropy"))
         return []
 
-    def decide(self, who: str, now_us: int, event: api.Event) -> list[str]:
+    def run_decision(self, who: str, now_us: int, event: api.Event) -> list[str]:
         """Put an event to its instance; a fault in there is told with its cause."""
         try:
             return [write_action(who, action) for action in self.instances[who].handle(now_us, event)]
@@ -232,15 +232,15 @@
     fields = Fields(rest.split(" "))
     return api.SwitchEntry(
         switch=fields.text("switch"),
-        cell=fields.whole("cell"),
-        state=fields.word("mode", STATES),
-        started_at_us=fields.whole("started_at_us", absent=0),
+        cell=fields.integer("cell"),
+        state=fields.choice("mode", STATES),
+        started_at_us=fields.integer("started_at_us", absent=0),
     )
 
 
 def serve(source: TextIO, sink: TextIO, trouble: TextIO) -> int:
     """Answer batches until the input ends; the exit status is 0 unless the input is unreadable."""
-    host = Host()
+    host = InstanceHost()
     number = 0
     line = ""
     now_us: int | None = None
@@ -262,7 +262,7 @@
                 if now_us is not None:
                     raise WireError("a batch began inside a batch")
                 fields = Fields(rest.split(" "))
-                now_us, seq, reply = fields.whole("moment_us"), fields.text("seq"), []
+                now_us, seq, reply = fields.integer("moment_us"), fields.text("seq"), []
             elif word == "":
                 continue
             elif now_us is None:
@@ -272,7 +272,7 @@
                 sink.flush()
                 now_us = None
             else:
-                reply.extend(host.take(now_us, text, lines))
+                reply.extend(host.handle_line(now_us, text, lines))
         if now_us is not None:
             raise WireError("the input ended inside a batch")
     except (WireError, UnicodeDecodeError) as error:
--- a/bitternbeam/figures/pool.py
+++ b/bitternbeam/figures/pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from bitternbeam.decision.interface import SwitchState
-from bitternbeam.decision.routing import FAILING
+from bitternbeam.decision.routing import FAILING_ERROR_SHARE
 from bitternbeam.decision.state import Switch
 
 
@@ -19,7 +19,7 @@
     for name, state in listed.items():
         switch = switches.get(name)
         if state is not SwitchState.READY or (
-            switch is not None and (switch.suspect or switch.errors > FAILING)
+            switch is not None and (switch.suspect or switch.error_share > FAILING_ERROR_SHARE)
         ):
             count += 1
     return count
--- a/bitternbeam/net/admin.py
+++ b/bitternbeam/net/admin.py
@@ -104,7 +104,7 @@
         """Take a connection; at the limit the oldest one goes first."""
         while self.connections.full and self.oldest:
             _, oldest = self.oldest.popitem(last=False)
-            self.connections.take(oldest.handle)
+            self.connections.pop(oldest.handle)
             oldest.handle = 0
             oldest.make_room()
         return AdminConnection(self)
@@ -118,7 +118,7 @@
 
     def closed(self, connection: AdminConnection) -> None:
         """Give a slot back."""
-        if connection.handle and self.connections.take(connection.handle) is not None:
+        if connection.handle and self.connections.pop(connection.handle) is not None:
             self.oldest.pop(connection.handle, None)
         connection.handle = 0
 
--- a/bitternbeam/net/clock.py
+++ b/bitternbeam/net/clock.py
@@ -29,11 +29,11 @@
         self._last_us = max(self._last_us, self._at(self._monotonic()))
         return self._last_us
 
-    def read_to_us(self) -> int:
+    def input_read_until_us(self) -> int:
         """Return the time up to which whatever came has been read: the last poll's."""
         return self._at(self._polls.polled_s) if self._polls else self.now_us()
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         """Return the earliest time at which input that is being read now may have come."""
         return self._at(self._polls.arrival_s) if self._polls else self.now_us()
 
--- a/bitternbeam/net/platform/client_connection.py
+++ b/bitternbeam/net/platform/client_connection.py
@@ -163,7 +163,7 @@
         elif uid in self.queued_requests:
             self.refuse_new_requests(CloseCause.REPEATED_ID)  # one refusal serves for both
         else:
-            self.queued_requests[uid] = QueuedRequest(uid, message, self.deadlines.arrival_us())
+            self.queued_requests[uid] = QueuedRequest(uid, message, self.deadlines.earliest_arrival_us())
 
     def _queue_stop(self, uid: str) -> None:
         if self.queued_requests.pop(uid, None):
--- a/bitternbeam/net/platform/client_requests.py
+++ b/bitternbeam/net/platform/client_requests.py
@@ -96,4 +96,4 @@
 
     def remove(self, request: ClientRequest) -> None:
         """Keep a request no more."""
-        self._requests.take(request.ref)
+        self._requests.pop(request.ref)
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -67,7 +67,7 @@
         """Withdraw a lost connection's requests; a call that stands belongs to no connection."""
         self.over_limit_connections.remove(connection)
         self.idle_connections.remove(connection)
-        if not self.connections.take(connection.handle):
+        if not self.connections.pop(connection.handle):
             return
         self._withdraw_open(connection, "client.left_by_closing")
 
--- a/bitternbeam/net/sip/front.py
+++ b/bitternbeam/net/sip/front.py
@@ -108,7 +108,7 @@
 
     def cancelled(self, transaction: ServerTransaction) -> None:
         """End an INVITE that its caller gives up."""
-        leg = self.legs.take(self.by_invite.pop(transaction, 0))
+        leg = self.legs.pop(self.by_invite.pop(transaction, 0))
         if leg is not None:
             transaction.respond(respond(transaction.request, 487, leg.tag))
             self.core.withdraw(leg.call)
@@ -209,7 +209,7 @@
         self._final(ref, 408 if late else 500)
 
     def _final(self, ref: int, status: int, extra: list[tuple[str, Value]] | None = None) -> None:
-        leg = self.legs.take(ref)
+        leg = self.legs.pop(ref)
         if leg is not None:
             self.by_invite.pop(leg.invite, None)
             leg.invite.respond(respond(leg.invite.request, status, leg.tag, extra or []))
@@ -239,7 +239,7 @@
         if leg.repeat:
             leg.repeat.cancel()
         if leg.dialog is not None:
-            self.legs.take(self.by_dialog.pop(leg.dialog.identity, 0))
+            self.legs.pop(self.by_dialog.pop(leg.dialog.identity, 0))
 
     def _contact(self, leg: Leg) -> tuple[str, Value]:
         return ("contact", self.settings.contact(self.transactions.transports, leg.invite.hop))
--- a/bitternbeam/net/sip/transport.py
+++ b/bitternbeam/net/sip/transport.py
@@ -230,7 +230,7 @@
 
     def dropped(self, stream: Stream) -> None:
         """Forget a connection that ended."""
-        if self.streams.take(stream.handle):
+        if self.streams.pop(stream.handle):
             peer = (stream.hop.host, stream.hop.port)
             if self.by_peer.get(peer) == stream.handle:
                 del self.by_peer[peer]
--- a/bitternbeam/settings.py
+++ b/bitternbeam/settings.py
@@ -9,13 +9,13 @@
 
 EFFECTS = {"repeatable": api.Effect.REPEATABLE, "by_key": api.Effect.BY_KEY, "once": api.Effect.ONCE}
 REPORT_FIELDS = {
-    "depth": "waiting",
+    "depth": "queue_length",
     "mean_ms": "wait_ms",
-    "load_share": "busy",
-    "can_take": "can_take",
-    "hold_back": "hold_back",
-    "free": "free",
-    "size": "size",
+    "load_share": "utilization",
+    "can_take": "capacity_per_s",
+    "hold_back": "shed_share",
+    "free": "free_lines",
+    "size": "total_lines",
 }
 
 
--- a/bitternbeam/tables/deadlines.py
+++ b/bitternbeam/tables/deadlines.py
@@ -13,18 +13,18 @@
 COMPACT_ABOVE = 256  # cancelled entries are swept out once they are that many and the larger part
 
 
-class Waker(Protocol):
+class TimerClock(Protocol):
     """A clock in microseconds with a single timer."""
 
     def now_us(self) -> int:
         """Return the time; it never runs backwards."""
         ...
 
-    def read_to_us(self) -> int:
+    def input_read_until_us(self) -> int:
         """Return the time up to which whatever came in has been read."""
         ...
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         """Return the earliest time at which input that is being read now may have come."""
         ...
 
@@ -36,41 +36,41 @@
 class Deadline:
     """One entry; cancelling it more than once does no harm."""
 
-    __slots__ = ("_owner", "at_us", "due")
+    __slots__ = ("_owner", "at_us", "callback")
 
-    def __init__(self, owner: Deadlines, at_us: int, due: Callable[[], None]) -> None:
+    def __init__(self, owner: Deadlines, at_us: int, callback: Callable[[], None]) -> None:
         self._owner = owner
         self.at_us = at_us
-        self.due: Callable[[], None] | None = due
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
         """Never call it."""
-        if self.due is not None:
-            self.due = None
-            self._owner.cancelled()
+        if self.callback is not None:
+            self.callback = None
+            self._owner.count_cancelled()
 
 
 class Deadlines:
     """A heap of deadlines; equal times keep the order in which they were set."""
 
-    def __init__(self, waker: Waker) -> None:
-        self._waker = waker
+    def __init__(self, clock: TimerClock) -> None:
+        self._clock = clock
         self._heap: list[tuple[int, int, Deadline]] = []
         self._order = count()
-        self._dead = 0
+        self._cancelled = 0
         self._running = False
-        self._armed_us: int | None = None
+        self._timer_at_us: int | None = None
 
     def __len__(self) -> int:
-        return len(self._heap) - self._dead
+        return len(self._heap) - self._cancelled
 
     def now_us(self) -> int:
         """Return the clock's time."""
-        return self._waker.now_us()
+        return self._clock.now_us()
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         """Return the earliest time at which input that is being read now may have come."""
-        return self._waker.arrival_us()
+        return self._clock.earliest_arrival_us()
 
     def at(self, at_us: int, due: Callable[[], None]) -> Deadline:
         """Call due at that time or soon after; never at once."""
@@ -81,26 +81,26 @@
 
     def after(self, wait_us: int, due: Callable[[], None]) -> Deadline:
         """Call due after a wait."""
-        return self.at(self._waker.now_us() + wait_us, due)
+        return self.at(self._clock.now_us() + wait_us, due)
 
-    def cancelled(self) -> None:
+    def count_cancelled(self) -> None:
         """Note that an entry of the heap is dead."""
-        self._dead += 1
-        if self._dead > COMPACT_ABOVE and 2 * self._dead > len(self._heap):
-            self._heap = [entry for entry in self._heap if entry[2].due is not None]
+        self._cancelled += 1
+        if self._cancelled > COMPACT_ABOVE and 2 * self._cancelled > len(self._heap):
+            self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
-            self._dead = 0
+            self._cancelled = 0
 
     def _arm(self) -> None:
         if self._running:
             return
-        while self._heap and self._heap[0][2].due is None:
+        while self._heap and self._heap[0][2].callback is None:
             heapq.heappop(self._heap)
-            self._dead -= 1
+            self._cancelled -= 1
         at_us = self._heap[0][0] if self._heap else None
-        if at_us != self._armed_us:
-            self._armed_us = at_us
-            self._waker.wake_at(at_us, self._wake)
+        if at_us != self._timer_at_us:
+            self._timer_at_us = at_us
+            self._clock.wake_at(at_us, self._wake)
 
     def _wake(self) -> None:
         """Run what is due; what a handler sets for now waits for the next round.
@@ -109,17 +109,17 @@
         unread, though it came first: a request whose client had left was sent on. So a deadline waits until
         all that came before it has been read, which takes one poll of the sockets.
         """
-        self._running, self._armed_us = True, None
-        now_us = min(self._waker.now_us(), self._waker.read_to_us())
+        self._running, self._timer_at_us = True, None
+        now_us = min(self._clock.now_us(), self._clock.input_read_until_us())
         due: list[Deadline] = []
         while self._heap and self._heap[0][0] <= now_us:
             due.append(heapq.heappop(self._heap)[2])
         try:
             for deadline in due:
-                if deadline.due is None:
-                    self._dead -= 1
+                if deadline.callback is None:
+                    self._cancelled -= 1
                     continue
-                handler, deadline.due = deadline.due, None
+                handler, deadline.callback = deadline.callback, None
                 try:
                     handler()
                 except Exception:
--- a/bitternbeam/tables/slots.py
+++ b/bitternbeam/tables/slots.py
@@ -24,15 +24,15 @@
         self._values: list[T | None] = []
         self._generations: list[int] = []
         self._free: list[int] = []
-        self._used = 0
+        self._count = 0
 
     def __len__(self) -> int:
-        return self._used
+        return self._count
 
     @property
     def full(self) -> bool:
         """Whether no further value can be put."""
-        return self._used >= self.size
+        return self._count >= self.size
 
     def put(self, value: T) -> int:
         """Store a value and return its handle."""
@@ -46,7 +46,7 @@
             self._generations.append(0)
         self._values[index] = value
         self._generations[index] += 1
-        self._used += 1
+        self._count += 1
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, handle: int) -> T | None:
@@ -56,14 +56,14 @@
             return None
         return self._values[index]
 
-    def take(self, handle: int) -> T | None:
+    def pop(self, handle: int) -> T | None:
         """Remove and return the value, or None if it has left already."""
         value = self.get(handle)
         if value is not None:
             index = handle & INDEX_MASK
             self._values[index] = None
             self._free.append(index)
-            self._used -= 1
+            self._count -= 1
         return value
 
     def values(self) -> Iterator[T]:
--- a/bitternbeam/wiring/handover.py
+++ b/bitternbeam/wiring/handover.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bitternbeam import __version__
-from bitternbeam.decision.handover import MisfitError, digest, given, taken
+from bitternbeam.decision.handover import StateMismatchError, digest, export_state, import_state
 from bitternbeam.wiring.parts import Common
 
 log = logging.getLogger("bitternbeam")
@@ -38,14 +38,14 @@
             with self.path.open("rb") as file:
                 raw = file.read(MOST_BYTES + 1)
             if len(raw) > MOST_BYTES:
-                raise MisfitError("it is too large")
-            count = given(self.module, json.loads(raw), self.common.deadlines.now_us(), self.agreed)
+                raise StateMismatchError("it is too large")
+            count = import_state(self.module, json.loads(raw), self.common.deadlines.now_us(), self.agreed)
         except FileNotFoundError:
             return
         except OSError as error:
             log.warning("handover %s: %s; starting from nothing", self.path, error.strerror)
-        except (MisfitError, ValueError, RecursionError) as error:
-            why = error if isinstance(error, MisfitError) else "it is not JSON"
+        except (StateMismatchError, ValueError, RecursionError) as error:
+            why = error if isinstance(error, StateMismatchError) else "it is not JSON"
             self.common.counters.add("handover.refused")
             log.warning("handover %s: %s; starting from nothing", self.path, why)
         else:
@@ -69,7 +69,7 @@
         part = self.path.with_suffix(f".{os.getpid()}")
         try:
             # Renamed into its place: the other process reads a whole file or none.
-            part.write_text(json.dumps(taken(self.module, now_us, self.agreed)))
+            part.write_text(json.dumps(export_state(self.module, now_us, self.agreed)))
             part.replace(self.path)
         except OSError as error:
             self.writing = False
--- a/tests/documents.py
+++ b/tests/documents.py
@@ -67,10 +67,10 @@
     def now_us(self) -> int:
         return self.now
 
-    def read_to_us(self) -> int:
+    def input_read_until_us(self) -> int:
         return self.now
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         return self.now
 
     def wake_at(self, at_us: int | None, wake: Callable[[], None]) -> None:
--- a/tests/hand_clock.py
+++ b/tests/hand_clock.py
@@ -19,10 +19,10 @@
     def now_us(self) -> int:
         return self.time_us
 
-    def read_to_us(self) -> int:
+    def input_read_until_us(self) -> int:
         return self.time_us
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         return self.time_us
 
     def wake_at(self, at_us: int | None, wake: Callable[[], None]) -> None:
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -59,10 +59,10 @@
     def now_us(self) -> int:
         return self.time.now
 
-    def read_to_us(self) -> int:
+    def input_read_until_us(self) -> int:
         return self.time.now
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         return self.time.now
 
     def wake_at(self, at_us: int | None, wake: Callable[[], None]) -> None:
--- a/tests/slow_start_world.py
+++ b/tests/slow_start_world.py
@@ -137,7 +137,7 @@
         server = self.servers[action.switch]
         attempt = Attempt(process, process.life, action.call, number, server, self.now)
         self.at(self.now + TRIP_US, partial(self.reach, attempt))
-        self.at(self.now + action.give_up_us, partial(self.ended, attempt, api.Outcome.NO_ANSWER))
+        self.at(self.now + action.timeout_us, partial(self.ended, attempt, api.Outcome.NO_ANSWER))
 
     def arrive(self, process: Process, server: Server) -> None:
         """Count what reaches a server in slow start."""
@@ -172,7 +172,9 @@
         if self.waits(attempt):
             self.finals["served"] += 1
             took_us = self.now - attempt.sent_us
-            self.feed(attempt.process, api.Stands(attempt.call, attempt.number, server.name, took_us))
+            self.feed(
+                attempt.process, api.AttemptAnswered(attempt.call, attempt.number, server.name, took_us)
+            )
             self.ended(attempt, api.Outcome.SERVED)
 
     def waits(self, attempt: Attempt) -> bool:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -116,9 +116,9 @@
     built = snapshot()
     tiers = built.candidates("low", 0, "+3612")
     assert tiers and [dict(tier.switches) for tier in tiers] == [{"s0": 2.0, "s1": 1.0}, {}]
-    assert tiers[1].holds("x", 2) and not tiers[1].holds("x", 1)
+    assert tiers[1].contains("x", 2) and not tiers[1].contains("x", 1)
     closed = built.candidates("high", 0, "+3612")
-    assert closed and dict(closed[0].switches) == {"s0": 2.0} and not closed[0].holds("s1", 0)
+    assert closed and dict(closed[0].switches) == {"s0": 2.0} and not closed[0].contains("s1", 0)
     gyor = built.candidates("high", 0, "+36961")
     assert gyor and len(gyor) == 1 and gyor[0].cells == {2}
     assert built.candidates("low", 0, "+36961") == tiers  # that route is another class's
--- a/tests/test_core_stateful.py
+++ b/tests/test_core_stateful.py
@@ -157,8 +157,8 @@
         super().nothing_is_kept()
         module = self.world.core.module
         assert isinstance(module, Controller)
-        assert not module.calls and not module.waiting
-        assert not any(switch.out for switch in module.switches.values())
+        assert not module.calls and not module.calls_by_timer
+        assert not any(switch.unanswered for switch in module.switches.values())
 
 
 class RogueRequests(Requests):
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -10,7 +10,7 @@
 
 import bitternbeam.decision.interface as api
 from bitternbeam import drill
-from bitternbeam.drill import Fields, Host, read_event, serve, write_action
+from bitternbeam.drill import Fields, InstanceHost, read_event, serve, write_action
 from bitternbeam.settings import read_settings
 
 ROUNDS = (Path(__file__).parent / "rounds.txt").read_text()
@@ -59,16 +59,22 @@
             "RETURNED corr=a trial=0 switch=s rc=served elapsed_us=9 last=1 "
             "health_info=free:4,size:9,depth:-1,can_take:7.5",
             api.AttemptEnded(
-                "a", 0, "s", api.Outcome.SERVED, 9, True, report=api.Report(can_take=7.5, free=4, size=9)
+                "a",
+                0,
+                "s",
+                api.Outcome.SERVED,
+                9,
+                True,
+                report=api.Report(capacity_per_s=7.5, free_lines=4, total_lines=9),
             ),
         ),
-        ("ACCEPTED corr=a trial=0 switch=s elapsed_us=3", api.Stands("a", 0, "s", 3)),
+        ("ACCEPTED corr=a trial=0 switch=s elapsed_us=3", api.AttemptAnswered("a", 0, "s", 3)),
         ("WITHDRAWN corr=a", api.Withdrawn("a")),
         ("TIMER ref=77", api.TimerDue(77)),
         ("PROBE_DONE switch=s elapsed_us=5 rc=no_answer", api.ProbeAnswer("s", 5, None)),
         (
             "PROBE_DONE switch=s elapsed_us=5 rc=served health_info=hold_back:0.5,mean_ms:20,load_share:0.7",
-            api.ProbeAnswer("s", 5, api.Report(hold_back=0.5, wait_ms=20, busy=0.7)),
+            api.ProbeAnswer("s", 5, api.Report(shed_share=0.5, wait_ms=20, utilization=0.7)),
         ),
         ("PEER_DATA origin_peer=2 octets=aGkgNw==", api.PeerMessage(2, b"hi 7")),
         (
@@ -106,10 +112,10 @@
         + "DIRECTORY_UPDATE who=gateway/1 bank=0 mode=2 stamp=1\n" + other
         + "DIRECTORY_UPDATE who=gateway/2 bank=0 mode=2 stamp=1\nFLUSH\n"
     )  # fmt: skip
-    host = Host()
+    host = InstanceHost()
     lines = iter(text.splitlines()[1:-1])
     for line in lines:
-        host.take(9, line, lines)
+        host.handle_line(9, line, lines)
     assert [list(one.switches) for one in host.instances.values()] == [["switch.a"], ["switch.b"]]
 
 
@@ -164,14 +170,14 @@
 
 
 def test_a_repeated_begin_starts_the_instance_anew() -> None:
-    host = Host()
+    host = InstanceHost()
     entry = iter(LIST.splitlines()[1:])
     for line in (
         begin("gateway/1").strip(),
         LIST.splitlines()[0],
         "DIRECTORY_UPDATE who=gateway/1 bank=0 mode=2",
     ):
-        host.take(9, line, entry)
+        host.handle_line(9, line, entry)
     assert host.instances["gateway/1"].switches
-    host.take(9, begin("gateway/1").strip(), entry)
+    host.handle_line(9, begin("gateway/1").strip(), entry)
     assert not host.instances["gateway/1"].switches
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -42,7 +42,7 @@
 def test_a_booker_is_ejected_while_draining_suspect_or_failing(
     state: SwitchState, suspect: bool, errors: float, known: bool, counted: int
 ) -> None:
-    switch = Switch("s0", 0, suspect=suspect, errors=errors)
+    switch = Switch("s0", 0, suspect=suspect, error_share=errors)
     switches = {"s0": switch} if known else {}
     sound = {"s1": Switch("s1", 0)}
     assert avoided(switches | sound, {"s0": state, "s1": SwitchState.READY}) == counted
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -389,8 +389,8 @@
     wires.offer(1)
     (offered,) = module.offers
     assert offered.allowed is not None
-    assert [tier.holds("a", 0) for tier in offered.allowed] == [False]
-    assert [tier.holds("b", 0) for tier in offered.allowed] == [True]
+    assert [tier.contains("a", 0) for tier in offered.allowed] == [False]
+    assert [tier.contains("b", 0) for tier in offered.allowed] == [True]
     assert [one.booker for one in wires.sent] == ["b"]
 
 
--- a/tests/test_fleet_slow_start.py
+++ b/tests/test_fleet_slow_start.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from bitternbeam.decision.chance import SMALL, planned, planned_part
+from bitternbeam.decision.chance import SLACK_STEP_REQUESTS, planned_mean, planned_share
 from tests.slow_start_day import Day, bound
 from tests.slow_start_world import FleetWorld
 from tests.world import MS, SECOND
@@ -69,14 +69,14 @@
     windows: int, budget: int
 ) -> None:
     chance = 0.01
-    part = planned_part(windows, chance)
+    part = planned_share(windows, chance)
     assert 0.6 < part < 1
     assert poisson_above(part * budget, bound(budget)) * windows <= chance
 
 
 @pytest.mark.parametrize("limit", [5.0, 20.0, 43.0, 122.0])
 def test_the_planned_mean_is_what_the_inequality_allows(limit: float) -> None:
-    mean = planned(limit, 0.001)
+    mean = planned_mean(limit, 0.001)
     room = limit - mean
     assert 0 < mean < limit
     assert math.exp(-(room**2) / (2 * (mean + room / 3))) == pytest.approx(0.001)
@@ -84,5 +84,7 @@
 
 def test_the_planned_part_is_that_of_the_budget_with_the_least_room() -> None:
     chance = 0.01 / 15
-    assert planned_part(15, 0.01) == pytest.approx(planned(bound(SMALL), chance) / SMALL)
-    assert all(planned(bound(n), chance) / n >= planned_part(15, 0.01) for n in range(2, 1000))
+    assert planned_share(15, 0.01) == pytest.approx(
+        planned_mean(bound(SLACK_STEP_REQUESTS), chance) / SLACK_STEP_REQUESTS
+    )
+    assert all(planned_mean(bound(n), chance) / n >= planned_share(15, 0.01) for n in range(2, 1000))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 import bitternbeam
 import bitternbeam.decision.interface as api
 from bitternbeam.decision.choice import Controller
-from bitternbeam.decision.handover import MisfitError, digest, given, taken
+from bitternbeam.decision.handover import StateMismatchError, digest, export_state, import_state
 from bitternbeam.wiring.handover import Handover
 from tests.loop import parts
 from tests.world import MS, SECOND, SETTINGS, World
@@ -23,9 +23,9 @@
 def learned() -> World:
     """Return a world whose module has learned what its switches bear, s1 under pressure."""
     world = World()
-    world.traffic(20, 40)
-    world.feed(api.ProbeAnswer("s1", 0, api.Report(busy=0.99, free=3, size=50)))
-    world.traffic(2, 40, cell=1)
+    world.offer_calls(20, 40)
+    world.feed(api.ProbeAnswer("s1", 0, api.Report(utilization=0.99, free_lines=3, total_lines=50)))
+    world.offer_calls(2, 40, cell=1)
     return world
 
 
@@ -39,54 +39,54 @@
 
 def test_a_new_module_goes_on_with_what_the_old_one_learned() -> None:
     world = learned()
-    raw = json.loads(json.dumps(taken(world.controller, world.now, AGREED)))
-    module = fresh(world.now + 300 * MS)
-    assert given(module, raw, world.now + 300 * MS, AGREED) == 2
+    raw = json.loads(json.dumps(export_state(world.controller, world.now_us, AGREED)))
+    module = fresh(world.now_us + 300 * MS)
+    assert import_state(module, raw, world.now_us + 300 * MS, AGREED) == 2
     for name, old in world.controller.switches.items():
         new = module.switches[name]
         for key in (
             "budget",
-            "largest",
-            "rate",
+            "largest_budget",
+            "send_rate",
             "wait_us",
-            "free",
-            "size",
-            "pressed",
-            "cold_since_us",
+            "free_lines",
+            "total_lines",
+            "throttled_intervals",
+            "slow_start_since_us",
             "suspect",
-            "paced_us",
-            "phase",
+            "gap_start_us",
+            "gap_phase",
         ):
             assert getattr(new, key) == getattr(old, key), key
-        assert not new.out  # calls are never handed over
-    assert module.answered == world.controller.answered > 0
-    assert module.stood_in == world.controller.stood_in
-    assert module.weight == world.controller.weight > 0
-    assert module.seen == pytest.approx(world.controller.seen, abs=1e-4)
+        assert not new.unanswered  # calls are never handed over
+    assert module.answered_calls == world.controller.answered_calls > 0
+    assert module.answered_by_cell == world.controller.answered_by_cell
+    assert module.observed_intervals == world.controller.observed_intervals > 0
+    assert module.group_counts == pytest.approx(world.controller.group_counts, abs=1e-4)
 
 
 def test_a_new_module_refuses_no_more_than_the_old_one_would() -> None:
     # Started from nothing beside a pressed pool, it refused a fifth of what could be sent.
     world = learned()
-    raw = taken(world.controller, world.now, AGREED)
+    raw = export_state(world.controller, world.now_us, AGREED)
     budgets = []
     for state in (raw, None):
-        module = fresh(world.now)
+        module = fresh(world.now_us)
         if state is not None:
-            given(module, state, world.now, AGREED)
-        budgets.append(sum(one.largest for one in module.switches.values()))
+            import_state(module, state, world.now_us, AGREED)
+        budgets.append(sum(one.largest_budget for one in module.switches.values()))
     assert budgets[0] > 3 * max(1.0, budgets[1])
 
 
 def test_one_that_was_replaced_between_the_two_starts_from_nothing() -> None:
     world = learned()
-    raw = taken(world.controller, world.now, AGREED)
-    module = fresh(world.now)
-    entry = api.SwitchEntry("s0", 0, api.SwitchState.READY, world.now - SECOND)
-    module.handle(world.now, api.ListEvent(api.ListKind.CHANGES, (entry,)))
-    assert given(module, raw, world.now, AGREED) == 1
-    assert module.switches["s0"].largest == 0 and module.switches["s0"].cold_since_us is not None
-    assert module.switches["s1"].largest > 0
+    raw = export_state(world.controller, world.now_us, AGREED)
+    module = fresh(world.now_us)
+    entry = api.SwitchEntry("s0", 0, api.SwitchState.READY, world.now_us - SECOND)
+    module.handle(world.now_us, api.ListEvent(api.ListKind.CHANGES, (entry,)))
+    assert import_state(module, raw, world.now_us, AGREED) == 1
+    assert module.switches["s0"].largest_budget == 0 and module.switches["s0"].slow_start_since_us is not None
+    assert module.switches["s1"].largest_budget > 0
 
 
 def spoil(key: str, value: Any) -> Callable[[dict[str, Any]], None]:
@@ -117,14 +117,14 @@
 )
 def test_what_does_not_fit_changes_nothing(change: Callable[[dict[str, Any]], None], why: str) -> None:
     world = learned()
-    raw = taken(world.controller, world.now, AGREED)
+    raw = export_state(world.controller, world.now_us, AGREED)
     change(raw)
-    module = fresh(world.now)
-    before = {name: one.largest for name, one in module.switches.items()}
-    with pytest.raises(MisfitError, match=why):
-        given(module, raw, world.now, AGREED)
-    assert {name: one.largest for name, one in module.switches.items()} == before
-    assert module.answered == 0
+    module = fresh(world.now_us)
+    before = {name: one.largest_budget for name, one in module.switches.items()}
+    with pytest.raises(StateMismatchError, match=why):
+        import_state(module, raw, world.now_us, AGREED)
+    assert {name: one.largest_budget for name, one in module.switches.items()} == before
+    assert module.answered_calls == 0
 
 
 class Side:
@@ -141,14 +141,14 @@
 
 def test_a_file_goes_from_one_process_to_the_next(tmp_path: Path) -> None:
     old, new = Side(tmp_path), Side(tmp_path)
-    old.module.switches["s0"].largest = 7.5
+    old.module.switches["s0"].largest_budget = 7.5
     old.hand.keep()
     old.hand.stop()
     new.hand.take()
-    assert new.module.switches["s0"].largest == 7.5 and new.counters["handover.taken"] == 1
+    assert new.module.switches["s0"].largest_budget == 7.5 and new.counters["handover.taken"] == 1
     other = Side(tmp_path, "another")
     other.hand.take()
-    assert other.module.switches["s0"].largest == 0  # its own name, its own file
+    assert other.module.switches["s0"].largest_budget == 0  # its own name, its own file
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b"[]", b"\xff\xfe", b"{}", b"[" * 100_000, b" " * (5 << 20)])
@@ -160,7 +160,7 @@
     side.hand.take()
     (line,) = [one.getMessage() for one in caplog.records]
     assert line.endswith("starting from nothing") and "\n" not in line
-    assert side.module.switches["s0"].largest == 0 and side.counters["handover.refused"] == 1
+    assert side.module.switches["s0"].largest_budget == 0 and side.counters["handover.refused"] == 1
 
 
 def test_without_a_folder_nothing_is_left_and_nothing_breaks(
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -39,7 +39,7 @@
 def test_a_clock_that_runs_backwards_raises() -> None:
     world = World()
     with pytest.raises(ValueError, match="backwards"):
-        world.controller.handle(world.now - 1, api.TimerDue(0))
+        world.controller.handle(world.now_us - 1, api.TimerDue(0))
 
 
 def test_an_unknown_class_raises() -> None:
--- a/tests/test_lost_decisions.py
+++ b/tests/test_lost_decisions.py
@@ -22,8 +22,8 @@
     """Find nothing of any request in the core or in the module."""
     world.check()
     assert not world.core.calls and not world.core.by_uid and not world.core.held
-    assert not module.calls and not module.waiting
-    assert not [switch.name for switch in module.switches.values() if switch.out]
+    assert not module.calls and not module.calls_by_timer
+    assert not [switch.name for switch in module.switches.values() if switch.unanswered]
 
 
 def test_a_request_that_ends_at_the_shutdown_while_it_waits_for_a_release_is_forgotten() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -413,7 +413,7 @@
     stage.launch(ID)
     until(lambda: len(stage.bookers) == 2)
     told: list[Any] = []
-    stage.core.reported = lambda booker, report: told.append((booker, report.free))  # type: ignore[method-assign]
+    stage.core.reported = lambda booker, report: told.append((booker, report.free_lines))  # type: ignore[method-assign]
     stage.bookers[teller].say("usage", "0" * 16, meta={"load": "free:0;size:9"})
     until(lambda: told)
     for booker in stage.bookers:
@@ -440,7 +440,7 @@
     # Where load is told in answers to probes alone, nothing carried the module's probes out.
     (booker,) = stage.bookers
     got: list[float | None] = []
-    stage.core.probed = lambda booker, took_us, report: got.append(report.hold_back if report else None)  # type: ignore[method-assign]
+    stage.core.probed = lambda booker, took_us, report: got.append(report.shed_share if report else None)  # type: ignore[method-assign]
     probe = api.Probe("s0")
     stage.core.act(probe)
     pause(0.05)
@@ -584,14 +584,14 @@
         until(partial(caller.got.__getitem__, slice(1, None)))
         tell(SwitchState.GONE)
         caller.transport.loseConnection()
-    assert stage.module.stood_in == dict.fromkeys(range(1, 6), 1)
+    assert stage.module.answered_by_cell == dict.fromkeys(range(1, 6), 1)
     until(lambda: len(stage.back.pools) == 1 and len(stage.front.connections) == 1)
-    until(lambda: not stage.module.stood_in)  # it looks once an interval
+    until(lambda: not stage.module.answered_by_cell)  # it looks once an interval
     assert not stage.back.requests and not stage.core.calls and not stage.core.by_uid
     assert len(stage.front.requests) == 0 and not stage.front.idle_connections.idle
     assert not any(stage.front.requests.find(f"{number:016x}") for number in range(1, 6))
-    assert not stage.module.calls and not stage.module.waiting and list(stage.core.listed_as) == ["s0"]
-    assert list(stage.module.switches) == ["s0"] and not stage.module.first_tries.keys() - {"n"}
+    assert not stage.module.calls and not stage.module.calls_by_timer and list(stage.core.listed_as) == ["s0"]
+    assert list(stage.module.switches) == ["s0"] and not stage.module.first_try_times_us.keys() - {"n"}
 
 
 class Alive(Peer):
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -21,10 +21,10 @@
     def now_us(self) -> int:
         return self.now
 
-    def read_to_us(self) -> int:
+    def input_read_until_us(self) -> int:
         return self.now
 
-    def arrival_us(self) -> int:
+    def earliest_arrival_us(self) -> int:
         return self.now
 
     def wake_at(self, at_us: int | None, wake: Callable[[], None]) -> None:
@@ -40,7 +40,7 @@
 def test_a_handle_kept_too_long_does_not_find_the_slots_next_tenant() -> None:
     table: SlotTable[str] = SlotTable(2)
     first = table.put("a")
-    assert table.take(first) == "a" and table.take(first) is None
+    assert table.pop(first) == "a" and table.pop(first) is None
     second = table.put("b")
     assert table.get(first) is None and table.get(second) == "b" and first != second
     table.put("c")
--- a/tests/test_wiring.py
+++ b/tests/test_wiring.py
@@ -138,18 +138,18 @@
     world = World(switches=4)
     allowed = (tier("s2"), tier("s3"))
     name = world.call(cell=0, allowed=allowed)
-    assert world.sent() == "s2"
-    world.ends(name, api.Outcome.TURNED_AWAY, "s2")
-    assert world.sent() == "s3"
-    world.ends(name, api.Outcome.TURNED_AWAY, "s3", attempt=1)
-    assert world.sent() == "s2"  # both have failed: within the attempts, the first again
-    world.ends(name, api.Outcome.TURNED_AWAY, "s2", attempt=2)
-    assert world.sent() is None and world.got(api.Refuse)
-    world.tell("s2", api.SwitchState.DRAINING)
+    assert world.sent_to() == "s2"
+    world.end_attempt(name, api.Outcome.TURNED_AWAY, "s2")
+    assert world.sent_to() == "s3"
+    world.end_attempt(name, api.Outcome.TURNED_AWAY, "s3", attempt=1)
+    assert world.sent_to() == "s2"  # both have failed: within the attempts, the first again
+    world.end_attempt(name, api.Outcome.TURNED_AWAY, "s2", attempt=2)
+    assert world.sent_to() is None and world.actions_of(api.Refuse)
+    world.update_switch("s2", api.SwitchState.DRAINING)
     world.call(cell=2, allowed=allowed)
-    assert world.sent() == "s3"
+    assert world.sent_to() == "s3"
     world.call(allowed=())
-    assert world.got(api.Refuse)
+    assert world.actions_of(api.Refuse)
 
 
 def test_a_tier_of_cells_leaves_out_what_is_shut() -> None:
@@ -157,7 +157,7 @@
     only = (api.Tier({}, frozenset({1, 2}), frozenset({"s1"})),)
     for _ in range(5):
         world.call(cell=1, allowed=only)
-        assert world.sent() == "s2"
+        assert world.sent_to() == "s2"
 
 
 def test_weights_share_calls_out_and_attempts_are_bounded_by_the_call() -> None:
@@ -165,25 +165,25 @@
     seen: Tally[str | None] = Tally()
     for _ in range(400):
         name = world.call(cell=9, allowed=(tier(s0=9.0, s1=1.0, s2=1.0),))
-        switch = world.sent()
+        switch = world.sent_to()
         seen[switch] += 1
-        world.serve(name, switch or "", 40 * MS)
-        world.wait(5 * MS)
+        world.complete_call(name, switch or "", 40 * MS)
+        world.advance(5 * MS)
     assert seen["s0"] > seen["s1"] + seen["s2"]
-    name = world.call(cell=0, attempts=1)
-    world.ends(name, api.Outcome.TURNED_AWAY, world.sent() or "")
-    assert world.got(api.Refuse)
+    name = world.call(cell=0, max_attempts=1)
+    world.end_attempt(name, api.Outcome.TURNED_AWAY, world.sent_to() or "")
+    assert world.actions_of(api.Refuse)
 
 
 def test_of_many_switches_those_in_use_are_stepped_each_interval_and_the_others_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = World(switches=300)
-    world.wait(3 * SECOND)
+    world.advance(3 * SECOND)
     switches = world.controller.switches.values()
-    assert all(one.largest > 0 for one in switches)  # in slices, but all of them
+    assert all(one.largest_budget > 0 for one in switches)  # in slices, but all of them
     stepped: list[str] = []
-    step = budget.step
+    step = budget.step_budget
 
     def noted(gateway: Any, switch: Any, shares: Any) -> None:
         stepped.append(switch.name)
@@ -191,6 +191,6 @@
 
     monkeypatch.setattr(budget, "step", noted)
     for _ in range(20):
-        world.serve(world.call(cell=7, allowed=(tier("s7"),)), "s7", 40 * MS)
-        world.wait(200 * MS)
+        world.complete_call(world.call(cell=7, allowed=(tier("s7"),)), "s7", 40 * MS)
+        world.advance(200 * MS)
     assert set(stepped) == {"s7"} and len(stepped) >= 3
