--- a/bitternbeam/decision/__init__.py
+++ b/bitternbeam/decision/__init__.py
@@ -1,8 +1,11 @@
-"""The decision module: a pool throttle per core switch, fed events and asked for actions.
+"""The decision module: admission control, routing and retries, driven by events and returning actions.
 
-`choice` takes calls through their life; `routing` says where one may go, `budget` how many go there, `load`
-how full a switch is, `slow_start` how slowly a cold or suspect one is tried, `traffic` what a call is worth
-and `probing` whom to ask. `estimates` tells by a gateway's own counts what a switch in slow start takes,
-`chance` how much of a bound independent senders may plan for. `interface` and `state` are records; `handover`
-writes out what was learned.
+`choice` handles calls from arrival to final answer, `routing` selects candidate switches, `budget` limits the
+set-ups per switch, `load` estimates a switch's load, `slow_start` paces set-ups to restarted or suspect
+switches, `traffic` classifies calls and `probing` selects the switches to probe. `estimates` derives the
+capacity of a switch in slow start from an instance's own counts; `chance` bounds the sum over independent
+instances.
+`interface` and `state` hold records; `handover` exports and imports learned state.
+
+A booker (an upstream server) is called `switch` here, as in the simulator's frames.
 """
--- a/bitternbeam/decision/chance.py
+++ b/bitternbeam/decision/chance.py
@@ -1,4 +1,4 @@
-"""How many requests independent senders may plan for where their sum must stay within a bound.
+"""The mean that independent senders may plan for so that their sum stays within a bound.
 
 Processes share nothing, so what one server gets from all of them in a window is a sum of independent counts.
 Each process sends at most one request a slot, and its first slot begins at a random phase of its own, so the
@@ -12,21 +12,21 @@
 
 from math import log, sqrt
 
-SLACK_STEP_REQUESTS = 30  # requests: from here on the slack of a server in slow start is the smaller one
+SLACK_STEP_REQUESTS = 30  # from this budget on the slack allowed in slow start is the smaller one
 
 
 def planned_mean(bound: float, chance: float) -> float:
-    """Return the largest mean of a sum of independent counts that passes a bound with that chance at most."""
+    """Return the largest mean whose sum of independent counts exceeds bound with at most this chance."""
     doubt = log(1 / chance)
     return bound + 2 / 3 * doubt - sqrt((2 / 3 * doubt) ** 2 + 2 * doubt * bound)
 
 
 def planned_share(windows: float, chance: float) -> float:
-    """Return the part of N that all processes together may plan for in a window of a slow start.
+    """Return the share of N that all processes together may plan for in a window of a slow start.
 
     N requests are allowed with a slack of 2 * sqrt(N) + 2 (3 * sqrt(N) + 3 for N under 30). No process knows
-    N, as it sees only its own share of the traffic. So the part is that of the N which leaves the least
-    room, 30, where the slack steps down. The chance is that of one slow start, shared out over its windows.
+    N, as it sees only its own share of the traffic, so the share for the least favourable N is used: 30,
+    where the slack steps down. The chance holds for one whole slow start and is divided over its windows.
     """
     bound = SLACK_STEP_REQUESTS + 2 * sqrt(SLACK_STEP_REQUESTS) + 2
     return planned_mean(bound, min(0.5, chance / max(1.0, windows))) / SLACK_STEP_REQUESTS
--- a/bitternbeam/decision/choice.py
+++ b/bitternbeam/decision/choice.py
@@ -1,7 +1,8 @@
-"""Every decision of a gateway's controller (types: bitternbeam/decision/interface.py, records: state.py).
+"""The controller of one instance (types: bitternbeam/decision/interface.py, records: state.py).
 
-The LC-Logic pool throttle of Nadjm-Tehrani et al. (2002) runs once per core switch: a budget of
-set-ups an interval, split into quotas, spare quota pooled. docs/design.md names each departure.
+Admission control follows the LC-Logic pool throttle of Nadjm-Tehrani et al. (2002), once per switch: a
+budget of set-ups per interval is split into quotas, and unused quota is pooled. docs/design.md lists the
+differences from the paper.
 """
 
 from collections import defaultdict
@@ -14,27 +15,22 @@
 from bitternbeam.decision.probing import Probing
 from bitternbeam.decision.state import Call, InstanceState, Switch
 
-IDLE_RATE = 0.02  # set-ups an interval: a switch with fewer is not stepped
-ANSWER_MARGIN_US = 60_000  # the final answer is given this long before the caller gives up
-SILENT_WAIT_LIMITS = 4.0  # an attempt unanswered for so many limits finds a silent switch
-RETRY_AFTER_INTERVALS = 0.4  # of an interval: a refused caller is asked to stay away so long
-ERROR_WEIGHT = 0.2  # weight of one call in the share that a switch fails and others take
-INTERVAL_TIMER, SLICE_TIMER = (
-    0,
-    1,
-)  # timer references: the interval, its next slice; calls that wait use those above
+IDLE_RATE = 0.02  # set-ups per interval; the budget of an idle switch below this is not stepped
+ANSWER_MARGIN_US = 60_000  # the final answer is sent this long before the client gives up
+SILENT_WAIT_LIMITS = 4.0  # an attempt unanswered for this many wait limits makes its switch suspect
+RETRY_AFTER_INTERVALS = 0.4  # intervals after which a refused client is asked to retry
+ERROR_WEIGHT = 0.2  # weight of one call in a switch's error share
+# Timer references: the interval and its next slice; the timers of waiting calls use higher ones.
+INTERVAL_TIMER, SLICE_TIMER = 0, 1
 
 READY, GONE = api.SwitchState.READY, api.SwitchState.GONE
 NOT_EXECUTED = (api.Outcome.TURNED_AWAY, api.Outcome.NO_CONNECTION, api.Outcome.NOT_SENT)
-MAY_HOLD_LINE = (
-    api.Outcome.NO_ANSWER,
-    api.Outcome.CUT,
-    api.Outcome.CALLED_OFF,
-)  # what it held may stay taken
+# Outcomes after which the attempt may still occupy a line at the switch.
+MAY_HOLD_LINE = (api.Outcome.NO_ANSWER, api.Outcome.CUT, api.Outcome.CALLED_OFF)
 
 
 class Controller(InstanceState):
-    """The decisions of one instance."""
+    """Decides admission, routing, retries and probes for one instance."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, Random(seed), *load.interval_and_wait_limit(settings))
@@ -50,13 +46,17 @@
         }
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Take one event and return what is to be done, in order."""
+        """Process one event and return the actions to carry out, in order.
+
+        Raises ValueError if now_us (microseconds) is before that of the previous event, or if a call's class
+        is not in the settings.
+        """
         if now_us < self.now_us:
             raise ValueError(f"the clock ran backwards: {now_us} after {self.now_us}")
         self.now_us, self.actions = now_us, []
         if not self.started:
             self.started = True
-            # A phase of its own keeps the gateways from stepping together.
+            # The random phase keeps the instances from stepping their budgets at the same time.
             wait_us = int(self.interval_us * self.random.uniform(0.5, 1.5))
             self.actions.append(api.SetTimer(now_us + wait_us, INTERVAL_TIMER))
             if self.settings.must_subscribe:
@@ -66,14 +66,16 @@
         return self.actions
 
     def list_changed(self, event: api.ListEvent) -> None:
-        """Bring the list up to date; a fresh start makes a switch cold."""
+        """Update the switches from a list event; a switch that restarted enters slow start."""
         self.switches_changed = True
         if event.kind is api.ListKind.FAILED and self.settings.must_subscribe:
             self.set_timer(load.SECOND_US, "")
         if event.kind in (api.ListKind.COMPLETE, api.ListKind.CACHED):
             for name in self.switches.keys() - {entry.switch for entry in event.entries}:
                 self.switches[name].state = GONE
-        cells: dict[int, list[Switch]] = defaultdict(list)  # or each of 10,000 switches looks at them all
+        cells: dict[int, list[Switch]] = defaultdict(
+            list
+        )  # indexed by cell: scanning all switches for each of 10,000 entries is too slow
         for switch in self.switches.values():
             cells[switch.cell].append(switch)
         for entry in event.entries:
@@ -96,7 +98,7 @@
                 slow_start.draw_phase(self, known)
 
     def probe_answered(self, event: api.ProbeAnswer) -> None:
-        """Take a probe's report; without one, the probe itself waited in line."""
+        """Apply a probe's report; without one, count the probe's own delay as a wait at the switch."""
         if switch := self.switches.get(event.switch):
             self.active_switches[switch.name] = switch
             if event.report:
@@ -105,7 +107,7 @@
                 load.record_wait(self, switch, event.took_us)
 
     def run_interval(self) -> None:
-        """Share out the next interval's allowances, probe, and begin to step the budgets."""
+        """Start an interval: update the quota shares, send probes and queue the budgets to step."""
         if self.switches_changed:
             left = {
                 name: one for name, one in self.switches.items() if one.state is not GONE or one.unanswered
@@ -125,7 +127,7 @@
         self.active_switches = {one.name: one for one in self.pending_steps}
 
     def new_call(self, event: api.NewCall) -> None:
-        """Take a call: send it or refuse it, now."""
+        """Send or refuse a new call at once."""
         if (kind := self.classes_by_name.get(event.call_class)) is None:
             raise ValueError(f"call {event.call}: class {event.call_class!r} is not in the settings")
         group, aim_us = traffic.count_arrival(self, event, kind)
@@ -136,7 +138,7 @@
         self.route_call(call)
 
     def route_call(self, call: Call) -> None:
-        """Send a call to the switch the route gives, or give its final answer."""
+        """Send a call to the first candidate that may take it, or give its final answer."""
         first = call.attempts == 0
         choices = routing.candidate_switches(self, call)
         taken = next((s for s in choices if not load.is_throttled(s) or s.credit[call.group] >= 1), None)
@@ -153,7 +155,7 @@
         self.give_final_answer(call)
 
     def send_call(self, call: Call, switch: Switch) -> None:
-        """Send a set-up; the wait for it ends with the aim, as later ones earn little and cost work."""
+        """Send a set-up. It times out when its aim ends: later answers earn little and cost work."""
         now = self.now_us
         switch.gap_start_us, switch.gap_phase = now, 1.0
         if switch.free_lines is not None:
@@ -165,26 +167,26 @@
         )
 
     def call_withdrawn(self, event: api.Withdrawn) -> None:
-        """Owe a caller who left nothing more."""
+        """Finish a call whose client left; no answer is owed."""
         if call := self.calls.get(event.call):
             self.finish_call(call)
 
     def give_final_answer(self, call: Call) -> None:
-        """Give the final answer."""
+        """Refuse the call if retrying it is safe, else fail it."""
         safe = call.call_class.effect is api.Effect.REPEATABLE or not call.may_have_run
-        # Allowances grow by the interval: a caller soon back, still within its aim, often finds one.
+        # Allowances are renewed every interval, so a client that retries soon often succeeds within its aim.
         away_us = min(int(RETRY_AFTER_INTERVALS * self.interval_us), self.settings.max_stay_away_us)
         self.actions.append(api.Refuse(call.name, away_us) if safe else api.Fail(call.name))
         self.finish_call(call)
 
     def finish_call(self, call: Call) -> None:
-        """Nothing more is owed; keep the call only while its attempt is out."""
+        """Mark a call as finished; it is kept only while an attempt is pending or answered."""
         call.finished = True
         if call.pending_switch is None and not call.answered:
             self.calls.pop(call.name, None)
 
     def attempt_answered(self, event: api.AttemptAnswered) -> None:
-        """Note an answer: the delay is the best measure of the switch's load."""
+        """Record an answered attempt; its delay is the best measure of the switch's load."""
         switch, call = self.switches.get(event.switch), self.calls.get(event.call)
         if switch is None or call is None:
             return
@@ -192,8 +194,8 @@
         switch.latest_answered_us = max(switch.latest_answered_us, switch.unanswered.pop(call.name, 0))
         if switch.suspect:
             slow_start.clear_suspect(self, switch)
-        # Danger: a switch that fails at once looks idle, and draws more. A call that fails everywhere, as a
-        # caller's nonsense does, tells nothing of it: it is blamed for what another then answered.
+        # A switch that fails fast looks idle and would attract more calls. An error counts against it only
+        # when another switch then answers the call: an invalid request fails everywhere.
         for failed in call.error_switches:
             failed.error_share += ERROR_WEIGHT * (1 - failed.error_share)
         switch.error_share *= 1 - ERROR_WEIGHT
@@ -203,15 +205,15 @@
         load.record_wait(self, switch, event.took_us - switch.min_setup_us)
 
     def attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Learn from an outcome; try again elsewhere while that can be in time."""
+        """Update the switch from an outcome, and retry the call while that can be in time."""
         switch, call = self.switches.get(event.switch), self.calls.get(event.call)
         if call is None:
             return
         call.pending_switch, call.answered = None, False
-        if switch:  # else it is gone and forgotten; an answer may still be owed
+        if switch:  # otherwise removed from the list; the call may still be owed an answer
             self.active_switches[switch.name] = switch
             if switch.free_lines is not None and event.outcome not in MAY_HOLD_LINE:
-                # Danger: where lines are told seldom, those used up one by one left a switch idle for ever.
+                # until the next report; it has no free line
                 switch.free_lines = min(switch.free_lines + 1, switch.total_lines or switch.free_lines + 1)
             self.learn_from_outcome(
                 switch, event, overtaken=switch.unanswered.pop(call.name, 0) < switch.latest_answered_us
@@ -231,30 +233,30 @@
             self.route_call(call)
 
     def learn_from_outcome(self, switch: Switch, event: api.AttemptEnded, overtaken: bool) -> None:
-        """Take an outcome as evidence of a switch's state."""
+        """Update load and suspicion of a switch from an attempt's outcome."""
         if event.report:
             load.apply_report(self, switch, event.report)
         if event.outcome is api.Outcome.TURNED_AWAY and event.processor_full:
             load.record_wait(self, switch, max(event.wait_hint_ms * 1000.0, 4 * self.wait_limit_us))
         elif event.outcome is api.Outcome.TURNED_AWAY and event.no_line:
-            switch.free_lines = 0  # until the next report: a set-up that finds no line is work for nothing
+            switch.free_lines = 0  # until the next report; a set-up that finds no line wastes work
         elif event.outcome is api.Outcome.NO_ANSWER and not overtaken:
             switch.overloaded = True
             load.record_wait(self, switch, event.took_us)
             if event.took_us > SILENT_WAIT_LIMITS * self.wait_limit_us:
                 slow_start.mark_suspect(self, switch, event.outcome)
         elif event.outcome in (api.Outcome.NO_CONNECTION, api.Outcome.CUT) and not event.connection_fault:
-            # Danger: connections break under sound switches too, and a suspect one is left only trials.
+            # A fault of the connection alone is excluded: it also hits healthy switches.
             slow_start.mark_suspect(self, switch, event.outcome)
 
     def set_timer(self, wait_us: int, call: str) -> None:
-        """Come back to a call (or, with no name, to the subscription) after a wait."""
+        """Set a timer to resume a call, or to subscribe again if the name is empty."""
         self.last_timer_ref += 1
         self.calls_by_timer[self.last_timer_ref] = call
         self.actions.append(api.SetTimer(self.now_us + wait_us, self.last_timer_ref))
 
     def timer_due(self, event: api.TimerDue) -> None:
-        """Run the interval, or go on with a call that waited for its release."""
+        """Start an interval, step the next slice of budgets, or resume a waiting call."""
         if event.ref == INTERVAL_TIMER:
             self.actions.append(api.SetTimer(self.now_us + self.interval_us, INTERVAL_TIMER))
             self.run_interval()
--- a/bitternbeam/decision/estimates.py
+++ b/bitternbeam/decision/estimates.py
@@ -1,34 +1,35 @@
-"""What a gateway can tell of a switch in slow start by its own counts: estimates, no choices.
+"""Estimates of the capacity of a switch in slow start, from an instance's own counts.
 
-Nobody is told a switch's capacity. Each gateway knows what it had answered; over all gateways that adds up to
-what all switches did, however many gateways there are, and a cell's part of the answers is its part of that.
-This holds for means alone: the sum of each gateway's highest rate is more than all ever did at once.
+No instance is told a switch's capacity. Each knows how many of its calls were answered; the sum over all
+instances is what all switches served, however many instances there are, and a cell's share of the answers is
+its share of the capacity. This holds for means only: the instances' peak rates add up to more than was ever
+served at once.
 """
 
 from bitternbeam.decision.chance import planned_share
 from bitternbeam.decision.state import InstanceState, Switch
 
-COUNT_DECAY = 0.9  # what is kept of a count from one interval to the next
-OVERRUN_PROBABILITY = 0.01  # that chance alone passes the bound in one slow start
-ARRIVED_SHARE = 0.5  # of the calls that came, at most: callers whose calls are refused come again
+COUNT_DECAY = 0.9  # factor for a count from one interval to the next
+OVERRUN_PROBABILITY = 0.01  # that random variation exceeds the bound in one slow start
+ARRIVED_SHARE = 0.5  # of the calls that arrived, at most: refused clients call again
 
 
 def mean_per_interval(instance: InstanceState, counted: float) -> float:
-    """Return the mean an interval of a count that fades; the interval in hand counts as a whole one."""
+    """Return the mean per interval of a decayed count; the current interval counts as a whole one."""
     return counted / (instance.observed_intervals * COUNT_DECAY + 1)
 
 
 def cell_share(instance: InstanceState, cell: int) -> float:
-    """Return a cell's part of what all switches can do.
+    """Return a cell's share of the capacity of all switches.
 
-    Before there are answers each has an even part, or a gateway that restarted would leave a cell idle.
+    Without answers each cell has an equal share; otherwise a restarted instance would leave cells unused.
     """
     stood, cells = instance.answered_by_cell, len(instance.class_cells) or len(instance.switches)
     return (stood.get(cell, 0) + 1) / (sum(stood.values()) + max(1, cells))
 
 
 def capacity_share(instance: InstanceState, switch: Switch) -> float:
-    """Return the part of its capacity that a paced switch had on average since its last send."""
+    """Return the mean share of its capacity that a paced switch had since the last send."""
     settings = instance.settings
     if switch.slow_start_since_us is None or switch.suspect:
         return settings.cold_from
@@ -38,7 +39,7 @@
 
 
 def slow_start_rates(instance: InstanceState, switch: Switch) -> tuple[float, float]:
-    """Return this gateway's part of a switch's budget, set-ups an interval: by its answers, by its calls."""
+    """Return this instance's share of a switch's set-ups per interval: by answers and by arrivals."""
     settings = instance.settings
     part = planned_share(settings.warm_after_us / settings.fall_us, OVERRUN_PROBABILITY)
     part *= settings.fall_multiple * capacity_share(instance, switch) * cell_share(instance, switch.cell)
--- a/bitternbeam/decision/probing.py
+++ b/bitternbeam/decision/probing.py
@@ -1,4 +1,4 @@
-"""Which switches a gateway asks for their report in an interval."""
+"""Selects the switches that an instance probes in an interval."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from bitternbeam.decision.load import SECOND_US, interval_and_wait_limit
 from bitternbeam.decision.state import Switch
 
-PROBES_PER_S = 8.0  # a second to one switch, of all gateways together
+PROBES_PER_S = 8.0  # to one switch, all instances together
 
 
 class Probing:
-    """Decides the probes of one instance."""
+    """Draws the switches to probe at random, at a bounded rate over all instances."""
 
     def __init__(self, settings: api.Settings, random: Random) -> None:
-        # Danger: a probe is work there; one from each gateway every second would fill a cold switch.
-        # By the second, not by the interval: where aims are short a processor is not for that reason quicker.
+        # A probe costs the switch work: one per second from every instance would fill a switch in slow start.
+        # The rate is per second rather than per interval, as short aims don't make a switch faster.
         interval_us, _ = interval_and_wait_limit(settings)
         self.probability = (
             PROBES_PER_S * interval_us / SECOND_US / settings.gateways if settings.may_probe else 0.0
@@ -25,9 +25,9 @@
         self.random = random
 
     def switches_to_probe(self, switches: Iterable[Switch]) -> list[str]:
-        """Return the names of the switches that are probed in this interval, in the order given."""
+        """Return the names of the switches to probe in this interval, in the order given."""
         if not self.probability:
-            return []  # and no draw: it would change all that are drawn after it
-        # A probe is work like a set-up, and the slots of a switch in slow start are better spent on those.
+            return []  # without a random draw, which would change all later ones
+        # A probe costs as much as a set-up; a paced switch should spend its capacity on set-ups.
         ready = (one for one in switches if one.state is api.SwitchState.READY and not one.paced)
         return [switch.name for switch in ready if self.random.random() < self.probability]
--- a/bitternbeam/decision/routing.py
+++ b/bitternbeam/decision/routing.py
@@ -1,18 +1,18 @@
-"""Which switches a call may be sent to, and in which order."""
+"""Candidate switches of a call, in order of preference."""
 
 import bitternbeam.decision.interface as api
 from bitternbeam.decision.load import expected_wait_us, is_throttled
 from bitternbeam.decision.slow_start import must_wait
 from bitternbeam.decision.state import Call, InstanceState, Switch
 
-WAIT_GROWTH = 2.0  # a wait in hand is old: by its end it may have grown by this
-FAILING_ERROR_SHARE = (
-    0.5  # above: a last resort, as some tries succeed and cost little, but for a trial an interval
-)
+WAIT_GROWTH = 2.0  # the last known wait may grow by this factor before a new set-up is served
+# Above this error share a switch is a last resort, except for one trial per interval: some attempts succeed
+# there, and failed ones cost little.
+FAILING_ERROR_SHARE = 0.5
 
 
 def tier_switches(instance: InstanceState, tier: api.Tier | None) -> list[Switch]:
-    """Return the switches of a tier; by name they are found without a look at all the others."""
+    """Return the switches of a tier (None: all); a tier of names alone needs no scan of all switches."""
     known = instance.switches
     listed = [known[name] for name in (tier.switches if tier and not tier.cells else known) if name in known]
     found = [one for one in listed if tier is None or tier.contains(one.name, one.cell)]
@@ -21,7 +21,7 @@
 
 
 def candidate_switches(instance: InstanceState, call: Call) -> list[Switch]:
-    """Return the switches a call may go to, of its tiers in order; those that fail it come last."""
+    """Return the switches a call may be sent to, in order of its tiers; failing ones come last."""
     tiers = call.allowed_tiers if call.allowed_tiers is not None else (None,)
     found = [one for tier in tiers for one in tier_candidates(instance, call, tier)]
     return sorted(
@@ -30,28 +30,32 @@
 
 
 def tier_candidates(instance: InstanceState, call: Call, tier: api.Tier | None) -> list[Switch]:
-    """Return the named switch while unthrottled, else two by unanswered set-ups, then those that fail."""
+    """Return the candidates of one tier.
+
+    The switch in the call's own cell alone while it is unthrottled; otherwise the better of two choices by
+    pending set-ups, then the failing ones.
+    """
     inside = tier_switches(instance, tier)
     for switch in inside:
         if expected_wait_us(instance, switch) > instance.wait_limit_us:
-            switch.overloaded = True  # on the spot: a flood fills the line before the interval is over
+            switch.overloaded = True  # at once: a burst can fill the queue before the interval ends
     usable = [switch for switch in inside if may_send(instance, call, switch)]
     last = [switch for switch in usable if is_failing(instance, switch)]
-    # What a sound switch could not make sense of it won't at the next try; a failing one may.
+    # A healthy switch that rejected the call with an error would do so again; a failing one may succeed.
     sound = [switch for switch in usable if not (switch in call.error_switches or switch in last)]
     fresh = [switch for switch in sound if switch not in call.failed_switches] or sound
     named = [switch for switch in fresh if switch.cell == call.cell][:1]
     if named and not is_throttled(named[0]):
         return named
     others = [switch for switch in fresh if switch.cell != call.cell]
-    # Danger: drawn alike, small switches get what only large ones have lines for: drawn by free lines.
+    # Weighted by free lines; a uniform draw would overfill small switches.
     lines = {one.name: (one.free_lines or 1.0) * (tier.weight(one.name) if tier else 1.0) for one in others}
     others.sort(key=lambda one: (is_throttled(one), instance.random.expovariate(lines[one.name])))
     return sorted(named + others[: 2 - len(named)], key=lambda switch: len(switch.unanswered)) + last
 
 
 def is_failing(instance: InstanceState, switch: Switch) -> bool:
-    """Tell whether a switch fails what others take, and no trial is due that would show it well again."""
+    """Return whether a switch fails calls that others answer, and no trial of it is due."""
     return (
         switch.error_share > FAILING_ERROR_SHARE
         and instance.now_us - switch.gap_start_us < instance.interval_us
@@ -59,7 +63,7 @@
 
 
 def may_send(instance: InstanceState, call: Call, switch: Switch) -> bool:
-    """Guard the rules, and keep off what cannot be in time."""
+    """Return whether the rules allow a set-up to this switch, and it can be answered in time."""
     now, cells = instance.now_us, call.call_class.cells
     return (
         not (call.pending_switch or call.answered)
--- a/bitternbeam/decision/traffic.py
+++ b/bitternbeam/decision/traffic.py
@@ -1,4 +1,4 @@
-"""The mix of calls that arrive: each one's group, and the groups' shares of every budget by worth."""
+"""The mix of arriving calls: each call's group, and the groups' shares of every budget by worth."""
 
 import bitternbeam.decision.interface as api
 from bitternbeam.decision.estimates import COUNT_DECAY
@@ -6,12 +6,13 @@
 
 
 def count_arrival(instance: InstanceState, event: api.NewCall, kind: api.CallClass) -> tuple[Group, int]:
-    """Count a call; returns its group and when its aim ends."""
+    """Count an arriving call; returns its group and the time its aim ends, in microseconds."""
     now, number = instance.now_us, event.number or event.call
     if event.again:
         instance.first_try_times_us.pop(number, None)
-    # The aim runs from the caller's first try. Redials carry no mark at some sites, but call the number
-    # again; one past its aim goes with the calls that earn little, as does one whose first is not known.
+    # The aim runs from the client's first try. Some sites don't mark redials, so they are recognized by the
+    # called number. A call past its aim is put into the group of less worth, as is a redial without a known
+    # first try.
     known = number in instance.first_try_times_us
     aim_us = instance.first_try_times_us.setdefault(number, now) + kind.aim_us
     late = aim_us <= now or (event.redial and not known)
@@ -22,7 +23,7 @@
 
 
 def within_tenant_share(instance: InstanceState, tenant: str | None) -> bool:
-    """Tell whether a tenant's call is within its share, by this gateway's own mix of traffic."""
+    """Return whether a tenant's call is within its share of this instance's traffic."""
     seen, quotas = instance.tenant_counts, instance.tenant_quotas
     if tenant not in seen:
         return True
@@ -34,7 +35,7 @@
 
 
 def update_group_shares(instance: InstanceState) -> None:
-    """Set each group's share of the budgets in the next interval; what was counted so far fades."""
+    """Set each group's share of the budgets for the next interval, and decay the counts."""
     now, seen, tries = instance.now_us, instance.group_counts, instance.first_try_times_us
     instance.first_try_times_us = {
         n: at for n, at in tries.items() if now - at < instance.longest_deadline_us
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -151,10 +151,12 @@
     world = World()
     name = world.call(cell=0)
     world.end_attempt(name, api.Outcome.NO_CONNECTION)
-    assert [log.text for log in world.actions_of(api.Log)] == ["switch s0: no connection, trials only"]
+    assert [log.text for log in world.actions_of(api.Log)] == [
+        "switch s0: no connection; suspect, sending single trials only"
+    ]
     trial = world.call(cell=0)
     world.answer_attempt(trial)
-    assert [log.text for log in world.actions_of(api.Log)] == ["switch s0: answers again"]
+    assert [log.text for log in world.actions_of(api.Log)] == ["switch s0: answers again, no longer suspect"]
 
 
 def test_a_set_up_overtaken_by_a_later_answer_is_lost_not_waiting() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -180,7 +180,7 @@
         world.end_attempt(name, api.Outcome.ERROR, "s0", attempt=tries)
     assert world.actions_of(api.Refuse)
     full.throttled_intervals = 0
-    for _ in range(4):  # a trial an interval, and it answers again
+    for _ in range(4):  # one trial per interval, until it answers again
         world.advance(SECOND + MS)
         name = world.call(0)
         assert world.sent_to() == "s0"
