--- a/bitternbeam/drill.py
+++ b/bitternbeam/drill.py
@@ -1,7 +1,7 @@
-"""The adapter: wire lines to events, actions to wire lines. It decides nothing.
+"""The simulator's adapter: translates its frames to events, and actions to frames.
 
-Many instances share a process and nothing else: each has its own Controller. Bad input ends the
-process with a plain message; a fault inside a decision is reported on the wire with its cause.
+Many instances run in one process, each with a Controller of its own and no shared state. Malformed input ends
+the process with an error message; an exception in a decision is reported on the wire with its cause.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     "called_off": api.Outcome.CALLED_OFF,
     "not_sent": api.Outcome.NOT_SENT,
 }
-FULL_CAUSES = (3, 18)  # the processor, or the one beyond, was full
+OVERLOAD_CAUSES = (3, 18)  # the switch's processor, or the next one's, was overloaded
 
 
 class Fields:
-    """The name=value parts of one line, read by name."""
+    """The name=value fields of one line. Its methods raise WireError for missing or malformed values."""
 
     def __init__(self, parts: list[str]) -> None:
-        """Split the parts; each needs a name."""
+        """Parse the parts of a line."""
         self.values: dict[str, str] = {}
         for part in parts:
             name, equals, value = part.partition("=")
@@ -56,7 +56,7 @@
         return self.values[name]
 
     def integer(self, name: str, absent: int | None = None) -> int:
-        """Return a whole number; absent is what the wire means by leaving it out."""
+        """Return an integer; `absent` is the default if the wire omits the field."""
         if absent is not None and name not in self.values:
             return absent
         text = self.text(name)
@@ -66,38 +66,38 @@
             raise WireError(f"value {name!r} is not a whole number: {text!r}") from None
 
     def flag(self, name: str) -> bool:
-        """Return a bool; absent means false on this wire."""
+        """Return a boolean; a missing field means false."""
         text = self.values.get(name, "0")
         if text not in ("0", "1"):
             raise WireError(f"value {name!r} is neither 0 nor 1: {text!r}")
         return text == "1"
 
     def choice(self, name: str, words: dict[str, T]) -> T:
-        """Return what a listed word stands for."""
+        """Return the value for one of the given words."""
         text = self.text(name)
         if text not in words:
             raise WireError(f"value {name!r} is unknown: {text!r}")
         return words[text]
 
     def report(self) -> api.Report | None:
-        """Return the processor's figures; None if there are none (-1: not told)."""
+        """Return the load report; None if it has no values (-1: not given)."""
         text = self.values.get("health_info", "")
-        figures: dict[str, float] = {}
+        values: dict[str, float] = {}
         for pair in text.split(",") if text else ():
             name, colon, value = pair.partition(":")
             try:
-                figure = float(value)
+                number = float(value)
             except ValueError:
                 colon = ""
             if not colon:
                 raise WireError(f"load report holds {pair!r}")
-            if name in REPORT_FIELDS and figure >= 0:
-                figures[REPORT_FIELDS[name]] = figure
-        return api.Report(**figures) if figures else None
+            if name in REPORT_FIELDS and number >= 0:
+                values[REPORT_FIELDS[name]] = number
+        return api.Report(**values) if values else None
 
 
 def read_event(word: str, fields: Fields) -> api.Event:
-    """Turn one instance's line into an event (lists are read by the host)."""
+    """Parse a line into an event; InstanceHost reads lists of switches."""
     if word == "CALL":
         advice = fields.integer("hop", absent=-1)
         return api.NewCall(
@@ -118,7 +118,7 @@
         )
     if word == "RETURNED":
         cause = fields.integer("cause", absent=0)
-        full = cause & 15 == 3 or cause in FULL_CAUSES
+        full = cause & 15 == 3 or cause in OVERLOAD_CAUSES
         return api.AttemptEnded(
             call=fields.text("corr"),
             attempt=fields.integer("trial"),
@@ -151,7 +151,7 @@
 
 
 def write_action(who: str, action: api.Action) -> str:
-    """Turn an action into its line."""
+    """Format an action as a line."""
     if isinstance(action, api.Send):
         return (
             f"CALL_OUT who={who} corr={action.call} give_up_after_us={action.timeout_us} "
@@ -173,15 +173,15 @@
 
 
 class InstanceHost:
-    """The instances of one process and the numbered lists it was given."""
+    """The instances of one process and the numbered_lines lists of switches."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create a host without instances and lists."""
         self.instances: dict[str, Controller] = {}
         self.lists: dict[int, tuple[api.SwitchEntry, ...]] = {}
 
     def handle_line(self, now_us: int, line: str, lines: Iterator[str]) -> list[str]:
-        """Handle one line of a batch; a list takes its entries from the lines that follow."""
+        """Handle one line of a batch and return the reply; a list reads its entries from `lines`."""
         word, _, rest = line.partition(" ")
         if word == "BEGIN":
             return self.start_instance(now_us, rest)
@@ -217,7 +217,7 @@
         return []
 
     def run_decision(self, who: str, now_us: int, event: api.Event) -> list[str]:
-        """Put an event to its instance; a fault in there is told with its cause."""
+        """Pass an event to its instance; an exception there is reported on the wire."""
         try:
             return [write_action(who, action) for action in self.instances[who].handle(now_us, event)]
         except Exception as error:
@@ -225,10 +225,10 @@
 
 
 def read_entry(line: str) -> api.SwitchEntry:
-    """Read a line of a list."""
+    """Parse an entry of a list."""
     word, _, rest = line.partition(" ")
     if word != "ENTRY":
-        raise WireError(f"the list is short: found {line!r}")
+        raise WireError(f"the list is too short: found {line!r} instead of an entry")
     fields = Fields(rest.split(" "))
     return api.SwitchEntry(
         switch=fields.text("switch"),
@@ -238,22 +238,22 @@
     )
 
 
-def serve(source: TextIO, sink: TextIO, trouble: TextIO) -> int:
-    """Answer batches until the input ends; the exit status is 0 unless the input is unreadable."""
+def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answer batches until the input ends; returns exit status 0, or 1 if the input was malformed."""
     host = InstanceHost()
     number = 0
     line = ""
     now_us: int | None = None
     seq = ""
 
-    def numbered() -> Iterator[str]:
+    def numbered_lines() -> Iterator[str]:
         nonlocal number, line
         for raw in source:
             number += 1
             line = raw.rstrip("\r\n")
             yield line
 
-    lines = numbered()
+    lines = numbered_lines()
     reply: list[str] = []
     try:
         for text in lines:
@@ -276,13 +276,13 @@
         if now_us is not None:
             raise WireError("the input ended inside a batch")
     except (WireError, UnicodeDecodeError) as error:
-        trouble.write(f"bitternbeam: line {number}: {error}: {line[:200]}\n")
+        errors.write(f"bitternbeam: line {number}: {error}: {line[:200]}\n")
         return 1
     return 0
 
 
 def main() -> int:
-    """Serve standard input and output."""
+    """Serve on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return serve(sys.stdin, sys.stdout, sys.stderr)
 
--- a/bitternbeam/tables/__init__.py
+++ b/bitternbeam/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Numbered slots and the one ordered structure that all deadlines hang in."""
+"""Tables of numbered slots, and the scheduler of deadlines."""
--- a/bitternbeam/tables/deadlines.py
+++ b/bitternbeam/tables/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the daemon in one ordered structure; one timer waits for the earliest."""
+"""A heap of deadlines that shares a single timer, set to the earliest of them."""
 
 from __future__ import annotations
 
@@ -10,31 +10,33 @@
 
 log = logging.getLogger(__name__)
 
-COMPACT_ABOVE = 256  # cancelled entries are swept out once they are that many and the larger part
+COMPACT_ABOVE = (
+    256  # cancelled entries are removed once there are more of them, and more than half of the heap
+)
 
 
 class TimerClock(Protocol):
-    """A clock in microseconds with a single timer."""
+    """A monotonic clock in microseconds with a single timer."""
 
     def now_us(self) -> int:
         """Return the time; it never runs backwards."""
         ...
 
     def input_read_until_us(self) -> int:
-        """Return the time up to which whatever came in has been read."""
+        """Return the time up to which all input that had arrived has been read."""
         ...
 
     def earliest_arrival_us(self) -> int:
-        """Return the earliest time at which input that is being read now may have come."""
+        """Return the earliest time at which the input being read now may have arrived."""
         ...
 
     def wake_at(self, at_us: int | None, wake: Callable[[], None]) -> None:
-        """Call wake at that time, in place of what was asked before; None: never."""
+        """Set the timer to call wake at at_us, replacing the one set before; None clears it."""
         ...
 
 
 class Deadline:
-    """One entry; cancelling it more than once does no harm."""
+    """A scheduled callback; cancelling it more than once is harmless."""
 
     __slots__ = ("_owner", "at_us", "callback")
 
@@ -44,14 +46,14 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Never call it."""
+        """Cancel the callback; no effect once it has run."""
         if self.callback is not None:
             self.callback = None
             self._owner.count_cancelled()
 
 
 class Deadlines:
-    """A heap of deadlines; equal times keep the order in which they were set."""
+    """Schedules callbacks; those of equal times run in the order in which they were set."""
 
     def __init__(self, clock: TimerClock) -> None:
         self._clock = clock
@@ -65,26 +67,26 @@
         return len(self._heap) - self._cancelled
 
     def now_us(self) -> int:
-        """Return the clock's time."""
+        """Return the clock's time in microseconds."""
         return self._clock.now_us()
 
     def earliest_arrival_us(self) -> int:
-        """Return the earliest time at which input that is being read now may have come."""
+        """Return the earliest time at which the input being read now may have arrived."""
         return self._clock.earliest_arrival_us()
 
     def at(self, at_us: int, due: Callable[[], None]) -> Deadline:
-        """Call due at that time or soon after; never at once."""
+        """Call due at at_us (microseconds) or soon after, never before this method returns."""
         deadline = Deadline(self, at_us, due)
         heapq.heappush(self._heap, (at_us, next(self._order), deadline))
         self._arm()
         return deadline
 
     def after(self, wait_us: int, due: Callable[[], None]) -> Deadline:
-        """Call due after a wait."""
+        """Call due wait_us microseconds from now."""
         return self.at(self._clock.now_us() + wait_us, due)
 
     def count_cancelled(self) -> None:
-        """Note that an entry of the heap is dead."""
+        """Count a cancelled entry, and compact the heap when most of it is cancelled."""
         self._cancelled += 1
         if self._cancelled > COMPACT_ABOVE and 2 * self._cancelled > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].callback is not None]
@@ -103,11 +105,11 @@
             self._clock.wake_at(at_us, self._wake)
 
     def _wake(self) -> None:
-        """Run what is due; what a handler sets for now waits for the next round.
+        """Run the callbacks that are due; those they schedule for now run in the next round.
 
-        Danger: after the loop stood still, the cancel, close or answer that makes a deadline moot may lie
-        unread, though it came first: a request whose client had left was sent on. So a deadline waits until
-        all that came before it has been read, which takes one poll of the sockets.
+        After the event loop was blocked, a cancel, close or answer that arrived before a deadline may still
+        be unread: a request whose client had left would be sent. A deadline therefore waits until all earlier
+        input has been read, which takes one poll of the sockets.
         """
         self._running, self._timer_at_us = True, None
         now_us = min(self._clock.now_us(), self._clock.input_read_until_us())
@@ -123,8 +125,8 @@
                 try:
                     handler()
                 except Exception:
-                    # Danger: the others due now have left the heap; a fault in one must not lose them all.
-                    log.exception("a deadline's handler failed")
+                    # The other due callbacks have left the heap, so one failure must not stop them.
+                    log.exception("deadline callback failed")
         finally:
             self._running = False
             self._arm()
--- a/bitternbeam/tables/slots.py
+++ b/bitternbeam/tables/slots.py
@@ -14,12 +14,12 @@
 class SlotTable(Generic[T]):
     """Values in numbered slots; a handle holds the slot's number and its generation.
 
-    A slot is used again, but under a new generation: a handle kept too long finds nothing
-    rather than the slot's next tenant. Handles are above 0.
+    A slot is reused under a new generation, so a stale handle finds nothing rather than the slot's next
+    value. Handles are above 0.
     """
 
     def __init__(self, size: int) -> None:
-        """Take at most `size` values at once."""
+        """Create a table for at most `size` values."""
         self.size = size
         self._values: list[T | None] = []
         self._generations: list[int] = []
@@ -31,13 +31,13 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further value can be put."""
+        """Whether all slots are in use."""
         return self._count >= self.size
 
     def put(self, value: T) -> int:
-        """Store a value and return its handle."""
+        """Store a value and return its handle. Raises OverflowError if the table is full."""
         if self.full:
-            raise OverflowError(f"all {self.size} slots are taken")
+            raise OverflowError(f"all {self.size} slots are in use")
         if self._free:
             index = self._free.pop()
         else:
@@ -50,14 +50,14 @@
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, handle: int) -> T | None:
-        """Return the value, or None if that tenant has left."""
+        """Return the value, or None if the handle is stale."""
         index = handle & INDEX_MASK
         if index >= len(self._values) or self._generations[index] != handle >> INDEX_BITS:
             return None
         return self._values[index]
 
     def pop(self, handle: int) -> T | None:
-        """Remove and return the value, or None if it has left already."""
+        """Remove and return the value, or None if the handle is stale."""
         value = self.get(handle)
         if value is not None:
             index = handle & INDEX_MASK
@@ -67,5 +67,5 @@
         return value
 
     def values(self) -> Iterator[T]:
-        """Iterate over a copy: the table may change meanwhile."""
+        """Iterate over a copy, so that the table may change meanwhile."""
         return iter([value for value in self._values if value is not None])
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The adapter: parsing, actions to lines, instances apart, plain refusals."""
+"""The simulator's adapter: parsing, formatting, separate instances and error messages."""
 
 from __future__ import annotations
 
@@ -134,7 +134,7 @@
         ("PEER_DATA who=gateway/3 origin_peer=1 octets=a\n", "'octets' is not base64"),
         ("TIMER gateway/3\n", "not name=value"),
         ("DIRECTORY_UPDATE who=gateway/3 bank=4 mode=1 stamp=1\n", "list 4 was never given"),
-        ("TABLE bank=0 records=2\n" + LIST.splitlines()[1] + "\n", "the list is short"),
+        ("TABLE bank=0 records=2\n" + LIST.splitlines()[1] + "\n", "the list is too short"),
         ("RETURNED who=gateway/3 corr=a trial=0 switch=s rc=odd elapsed_us=1\n", "'rc' is unknown: 'odd'"),
         ("BEGIN who=gateway/4 entropy=1\n", "'params' is missing"),
         ("BEGIN who=gateway/4 entropy=1 params={\n", "not JSON"),
