--- a/tests/test_budget_step.py
+++ b/tests/test_budget_step.py
@@ -48,7 +48,7 @@
     assert stepped(switch).budget == 5.0 + step
 
 
-def test_the_budget_steps_down_while_a_report_puts_the_switch_above() -> None:
+def test_the_budget_steps_down_while_most_samples_show_overload() -> None:
     switch = Switch(
         "s",
         0,
@@ -62,7 +62,7 @@
     assert stepped(switch).budget == 4.0
 
 
-def test_the_budget_holds_when_the_line_has_drained_by_the_end() -> None:
+def test_the_budget_holds_while_the_queue_drains() -> None:
     switch = Switch(
         "s",
         0,
@@ -78,8 +78,8 @@
     assert switch.throttled_intervals == 3
 
 
-def test_one_sample_above_among_many_does_not_hold_the_budget_down() -> None:
-    # With fifty samples an interval one is above nearly always: the budget would never rise again.
+def test_a_few_overload_samples_among_many_do_not_hold_the_budget_down() -> None:
+    # With fifty samples per interval some nearly always show overload, and the budget would never rise.
     switch = Switch(
         "s",
         0,
@@ -99,12 +99,12 @@
     assert 4.0 < stepped(switch).budget < 5.0  # a step, and what chance may hide of three
 
 
-def test_without_news_no_budget_steps_and_no_throttle_lapses() -> None:
+def test_without_an_observed_wait_no_budget_steps_and_no_throttle_lapses() -> None:
     switch = stepped(Switch("s", 0, budget=5.0, throttled_intervals=2, send_rate=50))
     assert (switch.budget, switch.throttled_intervals) == (5.0, 2)
 
 
-def test_a_budget_keeps_one_step_so_that_news_can_come() -> None:
+def test_a_budget_never_falls_below_one_step() -> None:
     switch = Switch(
         "s",
         0,
@@ -118,7 +118,7 @@
     assert stepped(switch).budget == 1.0
 
 
-def test_the_least_step_is_shared_by_the_gateways() -> None:
+def test_the_least_step_is_shared_by_the_instances() -> None:
     world = World(gateways=200)
     switch = Switch("s", 0, budget=0.3, throttled_intervals=3, send_rate=50, wait_observed=True)
     step_budget(world.controller, switch, HALF)
@@ -133,7 +133,7 @@
 
 
 def test_a_budget_rises_a_step_over_what_was_sent_last() -> None:
-    # The smoothed count alone trailed a rising budget and held it to a fifth of its step.
+    # The smoothed rate alone lags behind a rising budget and held it to a fifth of its step.
     one = Switch(
         "s0",
         0,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""The failures found in measured days and incidents, one small test each."""
+"""Regression tests for failures found in load runs and incidents."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 READY = api.SwitchState.READY
 
 
-def test_a_switch_without_free_lines_is_passed_over_until_told_otherwise() -> None:
+def test_a_switch_without_free_lines_is_skipped_until_it_reports_some() -> None:
     world = World()
     world.feed(api.ProbeAnswer("s0", 0, api.Report(free_lines=0, total_lines=50)))
     name = world.call(cell=0)
@@ -35,7 +35,7 @@
     assert sent == ["s0", "s0", "s1"]
 
 
-def test_one_old_unanswered_set_up_presses_a_switch_at_once() -> None:
+def test_one_old_pending_set_up_marks_a_switch_overloaded_at_once() -> None:
     world = World()
     name = world.call(cell=0)
     world.answer_attempt(name)
@@ -52,7 +52,7 @@
     assert switch.budget >= 10
 
 
-def test_cut_calls_with_an_answer_at_once_cost_no_cold_start() -> None:
+def test_lost_calls_followed_by_a_prompt_answer_cause_no_slow_start() -> None:
     world = World()
     names = [world.call(cell=0) for _ in range(4)]
     for name in names:
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.CUT, api.Outcome.NO_CONNECTION])
-def test_a_switch_back_after_a_long_silence_counts_as_cold(outcome: api.Outcome) -> None:
+def test_a_switch_that_answers_after_a_long_silence_enters_slow_start(outcome: api.Outcome) -> None:
     world = World()
     name = world.call(cell=0)
     world.end_attempt(name, outcome)
@@ -83,18 +83,18 @@
     assert world.controller.switches["s0"].slow_start_since_us == world.now_us
 
 
-def test_a_late_redial_goes_with_the_calls_that_earn_little() -> None:
+def test_a_late_redial_is_in_the_group_of_less_worth() -> None:
     world = World()
     world.call(number="n1")
     world.advance(1_600 * MS)
     world.call(number="n1")
-    world.call(number="n2", redial=True)  # its first try was at another gateway
+    world.call(number="n2", redial=True)  # its first try was at another instance
     world.call(number="n3")
     groups = [call.group[1] for call in world.controller.calls.values()]
     assert groups == [True, False, False, True]
 
 
-def test_a_redial_within_its_aim_keeps_the_rest_of_it() -> None:
+def test_a_redial_within_its_aim_has_the_remaining_time() -> None:
     world = World()
     world.call(number="n1")
     world.advance(1_000 * MS)
@@ -131,7 +131,7 @@
     assert switch.send_rate < 3  # the interval ran
 
 
-def test_events_of_unknown_calls_and_switches_are_passed_over() -> None:
+def test_events_of_unknown_calls_and_switches_are_ignored() -> None:
     world = World()
     world.answer_attempt("never", "s0")
     world.end_attempt("never", api.Outcome.SERVED)
@@ -140,14 +140,14 @@
     assert world.last_actions == []
 
 
-def test_a_subscription_is_asked_for_and_asked_for_again() -> None:
+def test_a_failed_subscription_is_repeated() -> None:
     world = World(must_subscribe=True)
     assert world.actions_of(api.Subscribe)
     world.feed(api.ListEvent(api.ListKind.FAILED))
     assert any(isinstance(action, api.Subscribe) for action in world.advance(2 * SECOND))
 
 
-def test_log_lines_tell_of_trials_and_of_the_return() -> None:
+def test_suspicion_and_recovery_of_a_switch_are_logged() -> None:
     world = World()
     name = world.call(cell=0)
     world.end_attempt(name, api.Outcome.NO_CONNECTION)
@@ -175,7 +175,7 @@
     assert not world.controller.switches["s0"].overloaded
 
 
-def test_a_silent_switch_gets_single_trials_and_no_cold_start() -> None:
+def test_a_silent_switch_gets_single_trials_and_no_slow_start() -> None:
     world = World()
     name = world.call(cell=0)
     world.now_us += 1_500 * MS
@@ -190,7 +190,7 @@
     assert not world.controller.switches["s0"].suspect
 
 
-def test_log_lines_of_a_flapping_switch_are_few() -> None:
+def test_a_flapping_switch_is_logged_once_per_period() -> None:
     world = World()
     lines = 0
     for _ in range(20):
@@ -204,8 +204,8 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.SERVED, api.Outcome.TURNED_AWAY, api.Outcome.ERROR])
-def test_lines_that_are_told_once_are_given_back_as_calls_end(outcome: api.Outcome) -> None:
-    # Where nothing else tells of them, lines were used up one a set-up: the switch then stood idle for ever.
+def test_lines_reported_once_are_counted_up_as_calls_end(outcome: api.Outcome) -> None:
+    # Without further reports, each set-up used up a line for good, until the switch was never used again.
     world = World(switches=1)
     world.feed(api.ProbeAnswer("s0", 0, api.Report(free_lines=3, total_lines=3)))
     for _ in range(12):
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -13,7 +13,7 @@
 LOW = ("low", True)
 
 
-def test_a_refusal_says_when_to_come_back_within_what_callers_heed() -> None:
+def test_a_refusal_asks_to_retry_within_the_limit_that_clients_accept() -> None:
     for most_us, told_us in ((2 * SECOND, 400 * MS), (100 * MS, 100 * MS), (0, 0)):
         world = World(switches=0, max_stay_away_us=most_us)
         world.call()
@@ -40,22 +40,22 @@
     assert probes * 250 / 500 == pytest.approx(8, rel=0.5)
 
 
-def test_nothing_is_refused_while_unthrottled_and_the_named_switch_is_taken() -> None:
+def test_an_unthrottled_switch_of_the_calls_cell_takes_every_call() -> None:
     world = World()
     for _ in range(50):
         world.call(cell=1)
         assert world.sent_to() == "s1"
 
 
-def test_a_throttled_switch_refuses_before_sending_and_the_throttle_lapses() -> None:
+def test_a_throttled_switch_refuses_calls_until_the_throttle_lapses() -> None:
     world = World(switches=1)
     assert world.offer_calls(5, 10) == 0
     assert world.offer_calls(3, 10, took_us=350 * MS) > 0
-    world.offer_calls(12, 10)  # below the set point again: the budget climbs, then the memory runs out
+    world.offer_calls(12, 10)  # no overload any more: the budget grows, then the throttle lapses
     assert world.offer_calls(3, 10) == 0
 
 
-def test_the_worthier_class_keeps_its_quota_under_pressure() -> None:
+def test_the_class_of_more_worth_keeps_its_quota_under_overload() -> None:
     world = World(switches=1)
     switch = world.controller.switches["s0"]
     switch.throttled_intervals, switch.budget, switch.send_rate = 3, 4.0, 5.0
@@ -97,7 +97,7 @@
     assert not is_throttled(world.controller.switches["s1"])
 
 
-def test_an_unanswered_probe_is_a_wait() -> None:
+def test_an_unanswered_probe_counts_as_a_wait() -> None:
     world = World(may_probe=True)
     world.feed(api.ProbeAnswer("s0", 900 * MS, None))
     assert is_throttled(world.controller.switches["s0"])
@@ -116,7 +116,7 @@
     assert run() == run()
 
 
-def test_traffic_beyond_a_tenants_share_is_told_by_the_mix() -> None:
+def test_traffic_beyond_a_tenants_share_is_grouped_separately() -> None:
     world = World(tenants=(api.Tenant("a", 5.0), api.Tenant("b", 5.0)))
     for n in range(400):
         world.call(tenant="a" if n % 4 else "b")
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("scale", [1, 4])
 def test_the_interval_scales_with_the_aims(scale: int) -> None:
-    # With a fixed second, aims four times as short were over before a budget had moved.
+    # With a fixed interval of one second, short aims end before a budget moves.
     kinds = [replace(kind, aim_us=kind.aim_us // scale) for kind in SETTINGS.classes]
     world = World(classes=tuple(kinds))
     world.advance(3 * SECOND // scale)
@@ -137,7 +137,7 @@
 
 
 def test_a_switch_inherits_the_budget_of_the_one_whose_place_it_takes() -> None:
-    # From nothing a budget took dozens of intervals; bookers replaced every few seconds never got there.
+    # A budget grown from 0 takes dozens of intervals; frequently replaced switches would never reach theirs.
     world = World(switches=1)
     old = world.controller.switches["s0"]
     old.budget, old.largest_budget, old.send_rate, old.throttled_intervals = 20.0, 25.0, 18.0, 3
@@ -148,14 +148,14 @@
     assert (heir.budget, heir.largest_budget, heir.send_rate) == (20.0, 25.0, 18.0)
     assert world.controller.switches["n1"].budget == 0  # another cell's
     old.send_rate, heir.send_rate = 19.0, 1.0
-    world.update_switch("s0", api.SwitchState.DRAINING)  # what went there comes to the heir from here
+    world.update_switch("s0", api.SwitchState.DRAINING)  # its calls go to the other switch from here
     assert heir.send_rate == 19.0
 
 
 @pytest.mark.parametrize("elsewhere", [True, False], ids=["fails here", "fails everywhere"])
-def test_a_switch_that_fails_what_others_take_is_the_last_resort(elsewhere: bool) -> None:
-    # It answers at once, looks idle and drew more calls; a caller's nonsense, which fails everywhere,
-    # must not be held against it, nor be tried again where it failed.
+def test_a_switch_that_fails_calls_others_answer_is_the_last_resort(elsewhere: bool) -> None:
+    # A switch that fails fast looks idle and attracts more calls. An invalid request, which fails everywhere,
+    # must not count against it, nor be retried where it failed.
     world = World()
     first = 0
     for _ in range(20):
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -1,4 +1,4 @@
-"""Which switches are asked for a report: ready ones, by the whole fleet about so many times a second."""
+"""Probes go to ready switches, at a rate bounded over the whole fleet."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 16, 80])
-def test_all_gateways_together_probe_a_switch_so_often(gateways: int) -> None:
+def test_the_fleet_probes_a_switch_at_the_configured_rate(gateways: int) -> None:
     settings = replace(SETTINGS, may_probe=True, gateways=gateways)
     found = [Probing(settings, Random(seed)).switches_to_probe([*AWAY, *READY]) for seed in range(gateways)]
     assert all(names == sorted(names, key=lambda name: int(name[1:])) for names in found)  # none is away
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("aim_us", [350_000, 750_000, 1_500_000])
-def test_short_aims_bring_no_more_probes_a_second(aim_us: int) -> None:
+def test_short_aims_do_not_raise_the_probe_rate(aim_us: int) -> None:
     classes = tuple(replace(kind, aim_us=aim_us) for kind in SETTINGS.classes)
     settings = replace(SETTINGS, may_probe=True, gateways=40, classes=classes)
     intervals_a_second = 1_000_000 / interval_and_wait_limit(settings)[0]
@@ -35,7 +35,7 @@
     assert probes == pytest.approx(PROBES_PER_S, rel=0.1)
 
 
-def test_where_none_may_be_sent_nothing_is_drawn() -> None:
+def test_disabled_probing_draws_no_random_number() -> None:
     random = Random(1)
     before = random.getstate()
     assert Probing(replace(SETTINGS, may_probe=False), random).switches_to_probe(READY) == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each of the five rules, kept by one gateway alone."""
+"""The five sending rules, as one instance keeps them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     return sum(isinstance(action, (api.Refuse, api.Fail)) for action in actions)
 
 
-def test_a_call_with_no_switch_to_take_is_refused_at_once() -> None:
+def test_a_call_without_candidate_switch_is_refused_at_once() -> None:
     world = World(switches=0)
     world.call()
     assert finals(world.last_actions) == 1
 
 
-def test_an_attempt_never_outlives_the_caller() -> None:
+def test_an_attempt_times_out_before_its_client_leaves() -> None:
     world = World()
     world.call(left_us=700 * MS)
     (send,) = world.actions_of(api.Send)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("left_us", [0, 1, 30 * MS])
-def test_a_caller_about_to_leave_gets_an_answer_not_an_attempt(left_us: int) -> None:
+def test_a_client_about_to_leave_gets_an_answer_and_no_attempt(left_us: int) -> None:
     world = World()
     world.call(left_us=left_us)
     assert finals(world.last_actions) == 1 and world.sent_to() is None
@@ -46,18 +46,18 @@
     world.now_us += 1_500 * MS
     world.end_attempt(name, api.Outcome.NO_ANSWER, took_us=1_500 * MS)
     assert finals(world.last_actions) == 1
-    world.end_attempt(name, api.Outcome.NO_ANSWER, took_us=1_500 * MS)  # an echo after the end
+    world.end_attempt(name, api.Outcome.NO_ANSWER, took_us=1_500 * MS)  # repeated after the end
     assert world.last_actions == []
 
 
-def test_a_withdrawn_call_is_owed_nothing() -> None:
+def test_a_withdrawn_call_gets_no_answer() -> None:
     world = World()
     name = world.call()
     world.feed(api.Withdrawn(name))
     world.end_attempt(name, api.Outcome.TURNED_AWAY)
     assert finals(world.last_actions) == 0 and world.sent_to() is None
     world.feed(api.Withdrawn(name))
-    world.feed(api.Withdrawn("never heard of"))
+    world.feed(api.Withdrawn("unknown"))
     assert world.last_actions == []
 
 
@@ -78,7 +78,7 @@
     assert finals(world.last_actions) == 1
 
 
-def test_attempts_are_counted() -> None:
+def test_attempts_are_limited() -> None:
     world = World(switches=5)
     name = world.call(cell=0)
     for attempt in range(3):
@@ -102,7 +102,7 @@
     assert world.sent_to() == "s1"
 
 
-def cold_sends(world: World, seconds: int, per_s: int = 40) -> list[int]:
+def slow_start_sends(world: World, seconds: int, per_s: int = 40) -> list[int]:
     """Return the times of sends to s0 while every call names it."""
     times = []
     for _ in range(seconds * per_s):
@@ -117,12 +117,12 @@
     return times
 
 
-def test_a_cold_switch_gets_a_bounded_share_from_the_first_send_on() -> None:
+def test_a_switch_in_slow_start_gets_a_bounded_rate_from_the_first_send() -> None:
     world = World()
     world.offer_calls(20, 20)
     rate = mean_per_interval(world.controller, world.controller.answered_calls)
     world.update_switch("s0", READY, started_at_us=world.now_us - SECOND)
-    times = cold_sends(world, 3)
+    times = slow_start_sends(world, 3)
     bound = (
         2.0 * (0.3 + 0.7 * 4 / 15) * rate
     )  # multiple x present part x all that was answered, which its cell did
@@ -130,10 +130,10 @@
     assert min(b - a for a, b in pairwise(times)) >= SECOND / bound
 
 
-def test_a_gateway_that_just_started_is_slow_to_a_cold_switch_at_once() -> None:
+def test_an_instance_that_just_started_paces_a_switch_in_slow_start() -> None:
     world = World()
     world.update_switch("s0", READY, started_at_us=world.now_us)
-    assert len(cold_sends(world, 2)) <= 3
+    assert len(slow_start_sends(world, 2)) <= 3
 
 
 def fleet_sends(prepare: Callable[[World], None]) -> int:
@@ -149,7 +149,7 @@
     return total
 
 
-def test_the_pace_of_a_cold_switch_does_not_grow_with_the_fleet() -> None:
+def test_the_rate_to_a_switch_in_slow_start_does_not_grow_with_the_fleet() -> None:
     assert 1 <= fleet_sends(lambda world: world.update_switch("s0", READY, started_at_us=world.now_us)) <= 20
 
 
@@ -170,10 +170,10 @@
     assert send_gap_us(world.controller, world.controller.switches["s9"]) < SECOND
     begin_slow_start(world.controller, world.controller.switches["s1"], world.now_us)
     fast, slow = (send_gap_us(world.controller, world.controller.switches[name]) for name in ("s9", "s1"))
-    assert slow > 3 * fast  # lines say nothing of it: the machine answered a sixth
+    assert slow > 3 * fast  # its cell answered a sixth as many calls
 
 
-def test_a_fresh_start_is_not_held_by_the_old_processors_throttle() -> None:
+def test_a_restart_clears_the_throttle_of_the_old_process() -> None:
     world = World()
     switch = world.controller.switches["s0"]
     switch.throttled_intervals, switch.wait_us, switch.reports_overload = 3, 3.0 * SECOND, True
@@ -181,7 +181,7 @@
     assert not is_throttled(switch) and expected_wait_us(world.controller, switch) == 0
 
 
-def test_a_gone_switch_is_forgotten_and_its_calls_still_get_their_answer() -> None:
+def test_a_gone_switch_is_removed_and_its_calls_still_get_an_answer() -> None:
     world = World()
     name = world.call(cell=0)
     world.answer_attempt(name)
@@ -193,7 +193,7 @@
     assert finals(done) == 1 or any(isinstance(action, api.Send) for action in done)
 
 
-def test_a_start_learned_late_counts_from_when_it_was() -> None:
+def test_slow_start_counts_from_the_start_and_not_from_its_report() -> None:
     world = World()
     world.offer_calls(10, 20)
     world.update_switch("s0", READY, started_at_us=world.now_us - 16 * SECOND)
@@ -201,16 +201,16 @@
     assert world.controller.switches["s0"].slow_start_since_us is None
 
 
-def test_a_switch_that_ends_its_cold_time_is_not_flooded() -> None:
+def test_a_switch_that_leaves_slow_start_is_not_flooded() -> None:
     world = World()
     world.offer_calls(20, 20)
     world.update_switch("s0", READY, started_at_us=world.now_us - 12 * SECOND)
-    cold_sends(world, 3)
-    assert len(cold_sends(world, 1)) < 30  # of the 40 that name it
+    slow_start_sends(world, 3)
+    assert len(slow_start_sends(world, 1)) < 30  # of the 40 that name it
 
 
 @pytest.mark.parametrize(("served_s", "least", "most"), [(0, 0.7, 1.5), (30, 0.0, 0.6)])
-def test_a_gateway_that_restarted_in_a_cold_time_gives_the_warm_switch_an_even_part(
+def test_an_instance_restarted_during_slow_start_gives_the_switch_an_equal_share(
     served_s: int, least: float, most: float
 ) -> None:
     world = World(gateways=200)  # a step of the budget is small against what this one sends
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.NO_ANSWER, api.Outcome.CUT, api.Outcome.CALLED_OFF])
-def test_the_release_is_awaited_from_when_it_was_told(outcome: api.Outcome) -> None:
+def test_the_release_is_awaited_from_the_reported_end(outcome: api.Outcome) -> None:
     world = World()
     name = world.call(cell=0)
     world.now_us += 250 * MS
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("effect", [api.Effect.ONCE, api.Effect.BY_KEY])
-def test_what_may_have_run_is_not_repeated_where_repeats_count(effect: api.Effect) -> None:
+def test_a_call_that_may_have_run_is_not_repeated_unless_repeatable(effect: api.Effect) -> None:
     kind = api.CallClass("low", 1_500_000, 9 * SECOND, 1.0, effect=effect)
     world = World(classes=(kind,))
     name = world.call()
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Numbered slots and the one ordered structure of deadlines."""
+"""The slot table and the deadlines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Hand:
-    """A clock that is moved by hand."""
+    """A timer clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -30,14 +30,14 @@
     def wake_at(self, at_us: int | None, wake: Callable[[], None]) -> None:
         self.armed, self.wake = at_us, wake
 
-    def go(self, to: int) -> None:
+    def advance(self, to: int) -> None:
         while self.armed is not None and self.armed <= to:
             self.now, self.armed = max(self.now, self.armed), None
             self.wake()
         self.now = to
 
 
-def test_a_handle_kept_too_long_does_not_find_the_slots_next_tenant() -> None:
+def test_a_stale_handle_does_not_find_the_slots_next_value() -> None:
     table: SlotTable[str] = SlotTable(2)
     first = table.put("a")
     assert table.pop(first) == "a" and table.pop(first) is None
@@ -59,7 +59,7 @@
     assert hand.armed == 10
     dropped.cancel()
     dropped.cancel()
-    hand.go(25)
+    hand.advance(25)
     assert ran == ["a", "b"] and len(deadlines) == 1 and hand.armed == 30
 
 
@@ -73,24 +73,24 @@
 
     deadlines.at(10, first)
     other = deadlines.at(10, lambda: ran.append("other"))
-    hand.go(10)
+    hand.advance(10)
     assert ran == ["next"] and len(deadlines) == 0
 
 
-def test_cancelled_entries_are_swept_out() -> None:
+def test_cancelled_entries_are_removed_from_the_heap() -> None:
     deadlines = Deadlines(Hand())
     for n in range(4 * COMPACT_ABOVE):
         deadlines.at(n, lambda: None).cancel()
     assert len(deadlines) == 0 and len(deadlines._heap) <= COMPACT_ABOVE
 
 
-def test_a_handler_that_fails_does_not_take_the_others_along() -> None:
-    # All that are due have left the structure: the calls behind the rest would never be answered.
+def test_a_failing_callback_does_not_stop_the_others() -> None:
+    # All due callbacks have left the heap; calls that wait for the rest would never be answered.
     hand, ran = Hand(), list[str]()
     deadlines = Deadlines(hand)
     deadlines.at(10, lambda: ran.append("a"))
     deadlines.at(10, lambda: ran.append(str(1 // 0)))
     deadlines.at(10, lambda: ran.append("b"))
     deadlines.at(20, lambda: ran.append("c"))
-    hand.go(30)
+    hand.advance(30)
     assert ran == ["a", "b", "c"]
--- a/tests/test_timer_references.py
+++ b/tests/test_timer_references.py
@@ -1,4 +1,4 @@
-"""The references of the module's timers, which the simulator's wire carries as whole numbers from 0 on."""
+"""Timer references, which the simulator's frames carry as non-negative integers."""
 
 from __future__ import annotations
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A hand-driven controller: feed events, read actions."""
+"""A controller driven by events from a test, with its clock and actions."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class World:
-    """One controller, its clock and the set-ups it has out."""
+    """One controller and its clock. Times are microseconds."""
 
     def __init__(self, switches: int = 2, seed: int = 7, **changes: object) -> None:
-        """Start a controller that knows some switches, named s0, s1 and so on."""
+        """Start a controller with that many switches, named s0, s1 and so on."""
         self.now_us = 1_000 * SECOND
         self.settings = replace(SETTINGS, **changes)  # type: ignore[arg-type]
         self.controller = Controller(self.settings, seed)
@@ -50,17 +50,17 @@
         self.feed(api.ListEvent(api.ListKind.CACHED, entries))
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        """Give one event; remember the timers."""
+        """Pass one event and record the timers set."""
         self.last_actions = self.controller.handle(self.now_us, event)
         self.timers += [(a.at_us, a.ref) for a in self.last_actions if isinstance(a, api.SetTimer)]
         return self.last_actions
 
     def actions_of(self, kind: type[A]) -> list[A]:
-        """Return the last actions of a kind."""
+        """Return the actions of a type that the last event caused."""
         return [action for action in self.last_actions if isinstance(action, kind)]
 
     def advance(self, us: int) -> list[api.Action]:
-        """Let time pass, with all timers that fall due; return what was done."""
+        """Advance the clock, with all timers that expire; return the actions."""
         end, done = self.now_us + us, []
         while self.timers and min(self.timers)[0] <= end:
             at_us, ref = self.timers.pop(self.timers.index(min(self.timers)))
@@ -71,29 +71,29 @@
         return done
 
     def call(self, cell: int = 0, kind: str = "low", left_us: int = 3 * SECOND, **more: object) -> str:
-        """Hand over a call and return its id."""
+        """Start a call and return its id."""
         self.call_count += 1
         name = f"c{self.call_count}"
         self.feed(api.NewCall(name, kind, cell, left_us, **more))  # type: ignore[arg-type]
         return name
 
     def sent_to(self) -> str | None:
-        """Return the switch of the one send among the last actions, if there is one."""
+        """Return the switch of the only send among the last actions, or None."""
         sends = self.actions_of(api.Send)
         assert len(sends) <= 1
         return sends[0].switch if sends else None
 
     def answer_attempt(self, call: str, switch: str = "s0", took_us: int = 40 * MS, attempt: int = 0) -> None:
-        """Let a set-up be answered."""
+        """Report that a set-up was answered."""
         self.feed(api.AttemptAnswered(call, attempt, switch, took_us))
 
     def end_attempt(self, call: str, outcome: api.Outcome, switch: str = "s0", **more: object) -> None:
-        """Let an attempt end; unless said otherwise the answer is still owed."""
+        """Report that an attempt ended; by default the call's final answer is still owed."""
         more = {"attempt": 0, "took_us": 40 * MS, "finished": False, **more}
         self.feed(api.AttemptEnded(call=call, switch=switch, outcome=outcome, **more))  # type: ignore[arg-type]
 
     def update_switch(self, switch: str, state: api.SwitchState, started_at_us: int = 0) -> None:
-        """Bring a change of the list."""
+        """Report a change of one switch in the list."""
         entry = api.SwitchEntry(switch, int(switch[1:]), state, started_at_us)
         self.feed(api.ListEvent(api.ListKind.CHANGES, (entry,)))
 
@@ -115,6 +115,6 @@
         return refused
 
     def complete_call(self, call: str, switch: str, took_us: int) -> None:
-        """Let a call stand and end."""
+        """Answer a call and end it."""
         self.answer_attempt(call, switch, took_us)
         self.end_attempt(call, api.Outcome.SERVED, switch, finished=True)
