--- a/tests/slow_start_day.py
+++ b/tests/slow_start_day.py
@@ -1,4 +1,4 @@
-"""What a simulated fleet before servers in slow start is made of, and what varies from day to day."""
+"""Parameters and records of the simulated fleet with servers in slow start."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 @dataclass(frozen=True)
 class Day:
-    """What varies from one simulated day to the next."""
+    """Parameters of one simulated scenario."""
 
     processes: int
     seed: int
     servers: int = 12
     capacity_per_s: float = 20.0  # of a server on average
     unequal: float = 0.0  # the largest server has (1 + unequal) times the mean, the smallest (1 - unequal)
-    load: float = 0.85  # of what all servers can do
+    load: float = 0.85  # of the capacity of all servers
     skew: float = 0.5  # sigma of the logarithm of the processes' rates
-    cell_skew: float = 0.0  # the same of the destinations'
-    restarted_servers: float = 0.5  # part of the servers that start anew, all at once
-    restarted_processes: float = 0.0  # part of the processes that do so with them, and know only the list
-    told_us: int = 2 * SECOND  # the longest delay of the news
-    told_with_us: int = 0  # the news of the start come together in so long; 0: each process by its own delay
-    surge: float = 1.0  # times the load, from a while into the ramp on
-    lost_servers: float = 0.0  # part of the other servers that are lost then, and leave the list at once
-    moves: int = 0  # times, before the servers restart, that clients move and the processes swap their rates
-    named: bool = True  # calls name a server of first choice
+    cell_skew: float = 0.0  # the same for the rates of the destination cells
+    restarted_servers: float = 0.5  # share of the servers that restart, all at once
+    restarted_processes: float = 0.0  # share of the processes that restart with them, keeping only the list
+    told_us: int = 2 * SECOND  # longest delay of a list event
+    told_with_us: int = 0  # all learn of a start within this time; 0: each after its own delay
+    surge: float = 1.0  # load factor, from some time into the ramp
+    lost_servers: float = 0.0  # share of the other servers that stop at that time and leave the list
+    moves: int = 0  # how often the processes' rates are permuted before the restart
+    named: bool = True  # calls name a preferred server
     unavailable_us: int = 300 * MS  # between a server's stop and its start
     aim_us: int = 1_500 * MS
-    gateways: float = 1.0  # the configured number, in parts of the true one
+    gateways: float = 1.0  # the configured number of instances, relative to the true one
     fall_multiple: float = 2.0
     fall_us: int = 1 * SECOND
     warm_after_us: int = 15 * SECOND
     may_probe: bool = False
 
     def settings(self) -> api.Settings:
-        """Return what the processes are told."""
+        """Return the settings of the controllers."""
         kinds = tuple(replace(kind, aim_us=self.aim_us) for kind in SETTINGS.classes)
         return replace(
             SETTINGS, classes=kinds, gateways=max(1, round(self.processes * self.gateways)),
@@ -50,7 +50,7 @@
 
 @dataclass
 class Server:
-    """One server and its line."""
+    """One server and its queue."""
 
     name: str
     cell: int
@@ -58,13 +58,13 @@
     started_us: int = 0
     down_until_us: int = 0
     life: int = 0
-    free_us: float = 0.0  # when its line is empty
-    arrived: list[int] = field(default_factory=list)  # since its start, from processes that knew of it
-    unknowing: int = 0  # since its start, from those that did not
+    free_us: float = 0.0  # when its queue is empty
+    arrived: list[int] = field(default_factory=list)  # in slow start, from processes that knew of it
+    unknowing: int = 0  # in slow start, from those that did not
     served: int = 0  # in slow start
 
     def part(self, now_us: int, settings: api.Settings) -> float:
-        """Return the share of its capacity that it has at a time."""
+        """Return the share of its capacity available at a time."""
         if not self.started_us:
             return 1.0
         age = min(1.0, (now_us - self.started_us) / settings.warm_after_us)
@@ -73,18 +73,18 @@
 
 @dataclass
 class Process:
-    """One process: its module, and what it was told."""
+    """One process: its controller, and the starts it knows of."""
 
     number: int
     rate_per_s: float
     module: Controller
-    knows: dict[str, int] = field(default_factory=dict)  # the latest start told of, by server
+    knows: dict[str, int] = field(default_factory=dict)  # the latest known start, by server
     life: int = 0
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """A request on its way to a server, of a process in one of its lives."""
+    """A request to a server; `life` counts the restarts of its process."""
 
     process: Process
     life: int
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True)
 class Excess:
-    """The fullest window of a server in slow start."""
+    """The window of a slow start that comes closest to its bound."""
 
     server: str
     sent: int
@@ -112,5 +112,5 @@
 
 
 def replace_start(server: Server, started_us: int) -> Server:
-    """Return a server as one knows it who was told of that start."""
+    """Return a server as a process knows it that learned of the given start."""
     return Server(server.name, server.cell, server.capacity_per_s, started_us)
--- a/tests/slow_start_world.py
+++ b/tests/slow_start_world.py
@@ -1,9 +1,9 @@
-"""A fleet of decision modules before servers that restart: a discrete-event world with one clock.
+"""Discrete-event simulation of a fleet of controllers and servers that restart, with one clock.
 
-Each process has its own module, its own arrivals (Poisson, with a skew between the processes) and its own
-delay before discovery's news reach it. A server works one request after the other at its capacity; after a
-start it has `cold_from` of that and gains evenly until `warm_after_us`. All that a process sends to a server
-after it was told of its start is counted: first and further attempts, refused ones and probes.
+Each process has its own controller, its own Poisson arrivals (with a skew between the processes) and its own
+delay until a list event reaches it. A server serves one request after the other at its capacity; after a
+start it has `cold_from` of that, which grows linearly until `warm_after_us`. Everything that a process sends
+to a server after learning of its start is counted: first and further attempts, refused ones and probes.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from tests.world import MS, SECOND
 
 TRIP_US = 5 * MS  # one way between a process and a server
-FULL_US = 1 * SECOND  # a server with a longer line refuses: processor full
-LEFT_US = 3 * SECOND  # what a caller waits for one try
+FULL_US = 1 * SECOND  # a server with a longer queue rejects requests as overloaded
+LEFT_US = 3 * SECOND  # how long a client waits for one try
 REDIALS = 2
 START_US = 1_000 * SECOND  # the clock at the world's start
-BUSY_US = 25 * SECOND  # of ordinary traffic before the servers restart
+BUSY_US = 25 * SECOND  # normal traffic before the servers restart
 
 
 class FleetWorld:
-    """Runs one day; `fullest` then tells the windows of the servers that restarted."""
+    """Runs one scenario; `fullest` then returns the window that comes closest to its bound."""
 
     def __init__(self, day: Day) -> None:
         self.day, self.settings = day, day.settings()
@@ -39,7 +39,7 @@
         self.finals = {"served": 0, "refused": 0, "failed": 0}
         self.redials: dict[str, int] = {}
         self.named_cell: dict[str, int] = {}
-        self.out: dict[str, int] = {}  # the attempt that is out, by call
+        self.out: dict[str, int] = {}  # the number of the pending attempt, by call
         self.attempts: dict[str, int] = {}
         shares = [1 + day.unequal * (2 * n / max(1, day.servers - 1) - 1) for n in range(day.servers)]
         self.servers = {
@@ -55,16 +55,16 @@
         self.factor = 1.0
 
     def module(self) -> Controller:
-        """Return the module of a process that starts."""
+        """Return a new controller for a process."""
         return Controller(self.settings, self.random.getrandbits(32))
 
     def at(self, when_us: float, act: Callable[[], None]) -> None:
-        """Have something happen at a time."""
+        """Schedule a function at a time."""
         self.order += 1
         heapq.heappush(self.due, (int(when_us), self.order, act))
 
     def feed(self, process: Process, event: api.Event) -> None:
-        """Give a process's module an event and do what it asks for."""
+        """Pass an event to a process's controller and carry out its actions."""
         for action in process.module.handle(self.now, event):
             if isinstance(action, api.Send):
                 self.send(process, action)
@@ -76,45 +76,45 @@
                 self.arrive(process, self.servers[action.switch])
 
     def timer(self, process: Process, life: int, ref: int) -> None:
-        """Let a timer fall due, if it is of the process's present life."""
+        """Expire a timer, unless the process has restarted since it was set."""
         if life == process.life:
             self.feed(process, api.TimerDue(ref))
 
     def entries(self, servers: Iterable[Server]) -> tuple[api.SwitchEntry, ...]:
-        """Return the lines of the list for some servers."""
+        """Return the list entries of some servers."""
         return tuple(
             api.SwitchEntry(one.name, one.cell, api.SwitchState.READY, one.started_us) for one in servers
         )
 
     def start(self, process: Process) -> None:
-        """Give a fresh module its list, as the process last had it."""
+        """Give a new controller the list as the process last knew it."""
         known = [replace_start(one, process.knows.get(one.name, 0)) for one in self.servers.values()]
         self.feed(process, api.ListEvent(api.ListKind.CACHED, self.entries(known)))
 
     def restart(self, process: Process) -> None:
-        """Let a process restart: it knows the list and nothing else."""
+        """Restart a process; it keeps only the list."""
         process.life += 1
         process.module = self.module()
         self.start(process)
 
     def tell(self, process: Process, server: Server) -> None:
-        """Bring a process the news of a server's start."""
+        """Tell a process of a server's start."""
         process.knows[server.name] = server.started_us
         self.feed(process, api.ListEvent(api.ListKind.CHANGES, self.entries([server])))
 
     def next_call(self, process: Process) -> None:
-        """Let a process's next call come."""
+        """Schedule a process's next call."""
         rate = process.rate_per_s * self.factor
         self.at(self.now + self.random.expovariate(rate) * SECOND, partial(self.new_call, process))
 
     def new_call(self, process: Process) -> None:
-        """Hand a process a call of its own clients, and let the next one come."""
+        """Start a call at a process, and schedule the next one."""
         self.next_call(process)
         cell = self.random.choices(range(self.day.servers), self.cell_weights)[0] if self.day.named else -1
         self.dial(process, cell, 0)
 
     def dial(self, process: Process, cell: int, redials: int) -> None:
-        """Let a caller dial, for the first time or again."""
+        """Start a call or a redial."""
         self.calls += 1
         name = f"c{self.calls}"
         self.redials[name], self.named_cell[name], self.attempts[name] = redials, cell, 0
@@ -122,7 +122,7 @@
         self.feed(process, api.NewCall(name, kind, cell, LEFT_US))
 
     def final(self, process: Process, action: api.Refuse | api.Fail) -> None:
-        """Count a refusal, and let the caller dial again."""
+        """Count a refusal or failure, and schedule the redial."""
         self.finals["refused" if isinstance(action, api.Refuse) else "failed"] += 1
         redials, cell = self.redials[action.call], self.named_cell[action.call]
         if redials < REDIALS:
@@ -130,7 +130,7 @@
             self.at(self.now + wait_us, partial(self.dial, process, cell, redials + 1))
 
     def send(self, process: Process, action: api.Send) -> None:
-        """Carry an attempt to its server."""
+        """Send an attempt to its server, and schedule its time-out."""
         number = self.attempts[action.call]
         self.attempts[action.call] += 1
         self.out[action.call] = number
@@ -140,7 +140,7 @@
         self.at(self.now + action.timeout_us, partial(self.ended, attempt, api.Outcome.NO_ANSWER))
 
     def arrive(self, process: Process, server: Server) -> None:
-        """Count what reaches a server in slow start."""
+        """Count a request that reaches a server in slow start."""
         if not server.started_us or self.now >= server.started_us + self.settings.warm_after_us:
             return
         if process.knows.get(server.name) == server.started_us:
@@ -149,7 +149,7 @@
             server.unknowing += 1
 
     def reach(self, attempt: Attempt) -> None:
-        """Let an attempt arrive: it is refused, or takes its place in the line."""
+        """Reject an arriving attempt or put it into the server's queue."""
         server, back_us = attempt.server, self.now + TRIP_US
         if self.now < server.down_until_us:
             self.at(back_us, partial(self.ended, attempt, api.Outcome.NO_CONNECTION))
@@ -163,7 +163,7 @@
         self.at(server.free_us + TRIP_US, partial(self.worked, attempt, server.life))
 
     def worked(self, attempt: Attempt, server_life: int) -> None:
-        """Bring the answer, or the cut where the server stopped before it."""
+        """Return the answer, or a lost connection if the server stopped before."""
         server = attempt.server
         if server.life != server_life:
             self.ended(attempt, api.Outcome.CUT)
@@ -178,11 +178,11 @@
             self.ended(attempt, api.Outcome.SERVED)
 
     def waits(self, attempt: Attempt) -> bool:
-        """Tell whether a process still waits for an attempt's outcome."""
+        """Return whether a process still waits for an attempt's outcome."""
         return attempt.life == attempt.process.life and self.out.get(attempt.call) == attempt.number
 
     def ended(self, attempt: Attempt, outcome: api.Outcome, full: bool = False) -> None:
-        """Tell how an attempt ended, once."""
+        """Report the end of an attempt, once."""
         if not self.waits(attempt):
             return
         del self.out[attempt.call]
@@ -192,7 +192,7 @@
         self.feed(attempt.process, event)
 
     def restart_servers(self) -> None:
-        """Let a part of the servers stop and start anew; the news come to each process by its own delay."""
+        """Restart some servers; each process learns of it after its own delay."""
         some = list(self.servers.values())
         self.random.shuffle(some)
         for server in some[: max(1, round(self.day.restarted_servers * len(some)))]:
@@ -207,27 +207,27 @@
                 self.at(server.started_us + wait_us, partial(self.tell, process, server))
 
     def move(self) -> None:
-        """Let the processes swap their rates, as when clients move from one to the other."""
+        """Permute the processes' arrival rates, as when clients move between them."""
         rates = [one.rate_per_s for one in self.fleet]
         self.random.shuffle(rates)
         for process, rate in zip(self.fleet, rates, strict=True):
             process.rate_per_s = rate
 
     def shift(self) -> None:
-        """Let the load change and other servers be lost, so that calls turn to those in slow start."""
+        """Change the load and stop other servers, so that their calls go to those in slow start."""
         self.factor = self.day.surge
         others = [one for one in self.servers.values() if not one.started_us]
         for server in others[: round(self.day.lost_servers * len(others))]:
             server.life += 1
             server.down_until_us = self.now + 3600 * SECOND
             entry = api.SwitchEntry(server.name, server.cell, api.SwitchState.GONE)
-            news = api.ListEvent(api.ListKind.CHANGES, (entry,))
+            event = api.ListEvent(api.ListKind.CHANGES, (entry,))
             for process in self.fleet:
                 wait_us = self.random.uniform(0, 300 * MS)
-                self.at(self.now + wait_us, partial(self.feed, process, news))
+                self.at(self.now + wait_us, partial(self.feed, process, event))
 
     def run(self) -> None:
-        """Run the day through the ramp of the servers that restart."""
+        """Run the scenario until the restarted servers leave slow start."""
         day = self.day
         for process in self.fleet:
             self.start(process)
@@ -247,7 +247,7 @@
             act()
 
     def fullest(self) -> Excess:
-        """Return the window of a server in slow start that is fullest against its bound."""
+        """Return the window of a slow start that comes closest to its bound."""
         found = []
         window_us = self.settings.fall_us
         for server in self.servers.values():
@@ -260,7 +260,7 @@
         return max(found, key=lambda one: one.sent / one.bound, default=Excess("", 0, 0.0, 3.0))
 
     def use(self) -> float:
-        """Return what the servers in slow start served, as a share of what they could have."""
+        """Return the requests served in slow start, as a share of the capacity."""
         part = (1 + self.settings.cold_from) / 2 * self.settings.warm_after_us / SECOND
         cold = [one for one in self.servers.values() if one.started_us]
         return sum(one.served for one in cold) / sum(one.capacity_per_s * part for one in cold)
--- a/tests/test_fleet_slow_start.py
+++ b/tests/test_fleet_slow_start.py
@@ -1,6 +1,6 @@
-"""What all processes together send a server in slow start stays within its budget, whatever each one knows.
+"""All processes together stay within the budget of a server in slow start, whatever each of them knows.
 
-The days are simulated (tests/slow_start_world.py): a fixed seed gives the same day each time.
+The scenarios are simulated (tests/slow_start_world.py) with fixed seeds.
 """
 
 from __future__ import annotations
@@ -50,22 +50,22 @@
 
 
 @pytest.mark.parametrize("processes", PROCESSES)
-def test_a_server_in_slow_start_is_used(processes: int) -> None:
-    # The bound would be kept by sending nothing.
+def test_the_capacity_of_a_server_in_slow_start_is_used(processes: int) -> None:
+    # Sending nothing would keep the bound, too.
     world = FleetWorld(Day(processes, 0, load=1.1))
     world.run()
     assert world.use() > 0.5
 
 
 def poisson_above(mean: float, most: float) -> float:
-    """Return the chance that a Poisson count is above a number."""
+    """Return the probability that a Poisson count exceeds a number."""
     terms = (math.exp(-mean + n * math.log(mean) - math.lgamma(n + 1)) for n in range(math.floor(most) + 1))
     return 1 - math.fsum(terms)
 
 
 @pytest.mark.parametrize("windows", [6, 12, 15, 30])
 @pytest.mark.parametrize("budget", [1, 3, 8, 20, 29, 30, 31, 50, 100, 300, 1000])
-def test_the_planned_part_of_any_budget_passes_its_bound_with_the_chance_that_was_named(
+def test_the_planned_share_of_any_budget_exceeds_its_bound_with_at_most_the_given_chance(
     windows: int, budget: int
 ) -> None:
     chance = 0.01
@@ -75,14 +75,14 @@
 
 
 @pytest.mark.parametrize("limit", [5.0, 20.0, 43.0, 122.0])
-def test_the_planned_mean_is_what_the_inequality_allows(limit: float) -> None:
+def test_the_planned_mean_satisfies_the_inequality_with_equality(limit: float) -> None:
     mean = planned_mean(limit, 0.001)
     room = limit - mean
     assert 0 < mean < limit
     assert math.exp(-(room**2) / (2 * (mean + room / 3))) == pytest.approx(0.001)
 
 
-def test_the_planned_part_is_that_of_the_budget_with_the_least_room() -> None:
+def test_the_planned_share_is_that_of_the_least_favourable_budget() -> None:
     chance = 0.01 / 15
     assert planned_share(15, 0.01) == pytest.approx(
         planned_mean(bound(SLACK_STEP_REQUESTS), chance) / SLACK_STEP_REQUESTS
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What an old process learned, taken by the new one: whole and true, or not at all."""
+"""Handover of learned state to a new process: complete and valid, or rejected as a whole."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def learned() -> World:
-    """Return a world whose module has learned what its switches bear, s1 under pressure."""
+    """Return a world whose controller has learned budgets, with s1 overloaded."""
     world = World()
     world.offer_calls(20, 40)
     world.feed(api.ProbeAnswer("s1", 0, api.Report(utilization=0.99, free_lines=3, total_lines=50)))
@@ -30,14 +30,14 @@
 
 
 def fresh(now_us: int) -> Controller:
-    """Return a module of a new process that was told the list."""
+    """Return the controller of a new process that knows only the list."""
     module = Controller(SETTINGS, 9)
     entries = tuple(api.SwitchEntry(f"s{cell}", cell, api.SwitchState.READY) for cell in (0, 1))
     module.handle(now_us, api.ListEvent(api.ListKind.CACHED, entries))
     return module
 
 
-def test_a_new_module_goes_on_with_what_the_old_one_learned() -> None:
+def test_a_new_controller_continues_with_the_learned_state() -> None:
     world = learned()
     raw = json.loads(json.dumps(export_state(world.controller, world.now_us, AGREED)))
     module = fresh(world.now_us + 300 * MS)
@@ -65,8 +65,8 @@
     assert module.group_counts == pytest.approx(world.controller.group_counts, abs=1e-4)
 
 
-def test_a_new_module_refuses_no_more_than_the_old_one_would() -> None:
-    # Started from nothing beside a pressed pool, it refused a fifth of what could be sent.
+def test_imported_budgets_are_larger_than_those_of_an_empty_start() -> None:
+    # Without the state, a controller of an overloaded pool refused a fifth of the calls it could have sent.
     world = learned()
     raw = export_state(world.controller, world.now_us, AGREED)
     budgets = []
@@ -78,7 +78,7 @@
     assert budgets[0] > 3 * max(1.0, budgets[1])
 
 
-def test_one_that_was_replaced_between_the_two_starts_from_nothing() -> None:
+def test_a_switch_restarted_in_between_gets_no_stored_state() -> None:
     world = learned()
     raw = export_state(world.controller, world.now_us, AGREED)
     module = fresh(world.now_us)
@@ -115,7 +115,7 @@
         (lambda raw: raw.pop("stood_in"), "incomplete or malformed"),
     ],
 )
-def test_what_does_not_fit_changes_nothing(change: Callable[[dict[str, Any]], None], why: str) -> None:
+def test_a_rejected_state_changes_nothing(change: Callable[[dict[str, Any]], None], why: str) -> None:
     world = learned()
     raw = export_state(world.controller, world.now_us, AGREED)
     change(raw)
@@ -128,7 +128,7 @@
 
 
 class Side:
-    """One process's hand-over, without the process."""
+    """The handover of one process."""
 
     def __init__(self, folder: Path, name: str = "n1") -> None:
         self.deadlines, self.counters = parts()
@@ -139,7 +139,7 @@
         self.hand = Handover(common, self.module, folder)
 
 
-def test_a_file_goes_from_one_process_to_the_next(tmp_path: Path) -> None:
+def test_a_file_is_passed_from_one_process_to_the_next(tmp_path: Path) -> None:
     old, new = Side(tmp_path), Side(tmp_path)
     old.module.switches["s0"].largest_budget = 7.5
     old.hand.keep()
@@ -148,11 +148,11 @@
     assert new.module.switches["s0"].largest_budget == 7.5 and new.counters["handover.taken"] == 1
     other = Side(tmp_path, "another")
     other.hand.take()
-    assert other.module.switches["s0"].largest_budget == 0  # its own name, its own file
+    assert other.module.switches["s0"].largest_budget == 0  # each name has its own file
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b"[]", b"\xff\xfe", b"{}", b"[" * 100_000, b" " * (5 << 20)])
-def test_a_file_that_is_none_of_ours_is_one_line_and_a_start_from_nothing(
+def test_an_invalid_file_is_logged_in_one_line_and_ignored(
     tmp_path: Path, content: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     side = Side(tmp_path)
@@ -163,7 +163,7 @@
     assert side.module.switches["s0"].largest_budget == 0 and side.counters["handover.refused"] == 1
 
 
-def test_without_a_folder_nothing_is_left_and_nothing_breaks(
+def test_a_missing_folder_is_logged_once_and_ignored(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     side = Side(tmp_path / "none")
--- a/tests/test_lost_decisions.py
+++ b/tests/test_lost_decisions.py
@@ -1,4 +1,4 @@
-"""A decision that is made too late, or by nobody: nothing of the request is kept, and it gets its answer."""
+"""Late or missing decisions: the request still gets its answer, and no record of it remains."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def decided() -> tuple[CoreWorld, Controller]:
-    """Return a core with the program's own module."""
+    """Return a core with the real controller."""
     module = Controller(SETTINGS, 3)
     return CoreWorld(module), module
 
 
-def nothing_is_kept(world: CoreWorld, module: Controller) -> None:
-    """Find nothing of any request in the core or in the module."""
+def assert_nothing_kept(world: CoreWorld, module: Controller) -> None:
+    """Assert that neither the core nor the controller keeps any request."""
     world.check()
     assert not world.core.calls and not world.core.by_uid and not world.core.held
     assert not module.calls and not module.calls_by_timer
@@ -27,7 +27,7 @@
 
 
 def test_a_request_that_ends_at_the_shutdown_while_it_waits_for_a_release_is_forgotten() -> None:
-    # Its timer sent it on in the module alone, which took the server to have one out for ever.
+    # Its timer resent it in the controller alone, which then counted an attempt as pending for ever.
     world, module = decided()
     one = world.ask("r0")
     world.servers.end(world.servers.written[0], api.Outcome.CUT)
@@ -35,11 +35,11 @@
     assert one.answers == ["refused"]
     world.hand.advance(SECOND)
     assert not world.counters["module.too_late"]
-    nothing_is_kept(world, module)
+    assert_nothing_kept(world, module)
 
 
 class Spent(Open):
-    """Bounds that let the first attempt go and no other."""
+    """Bounds that allow only first attempts."""
 
     def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         return "budget_used_up" if retry else ""
@@ -51,11 +51,11 @@
     one = world.ask("r0")
     world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert one.answers == ["refused"]
-    nothing_is_kept(world, module)
+    assert_nothing_kept(world, module)
 
 
 class Crossing(Controller):
-    """Whose decision is crossed by the client's leaving: it is carried out behind it."""
+    """A controller whose client leaves between a decision and its actions."""
 
     world: CoreWorld
 
@@ -68,18 +68,18 @@
         return actions
 
 
-def test_a_send_that_the_clients_leaving_has_crossed_is_taken_back() -> None:
-    # The module had it as out for ever: a server that was suspected then got no trial any more.
+def test_a_send_decided_before_its_client_left_is_withdrawn() -> None:
+    # The controller counted it as pending for ever, so a suspect server got no trial any more.
     module = Crossing(SETTINGS, 3)
     world = module.world = CoreWorld(module)
     world.ask("r0")
     world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert world.counters["module.too_late"] == 1
-    nothing_is_kept(world, module)
+    assert_nothing_kept(world, module)
 
 
 def test_one_action_that_fails_does_not_lose_those_behind_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With the module's own timer among them nothing would be stepped any more.
+    # If the controller's own timer were among the lost actions, no budget would be stepped any more.
     class Both(Controller):
         def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.NewCall):
@@ -93,7 +93,7 @@
 
 
 class Forgetful:
-    """A module that sends once and then forgets, or fails whenever it is asked."""
+    """A controller that sends once and then does nothing, or raises on a type of event."""
 
     def __init__(self, fails_on: type[api.Event] | None) -> None:
         self.fails_on = fails_on
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("fails_on", [None, api.AttemptEnded, api.Withdrawn])
 @pytest.mark.parametrize("outcome", [api.Outcome.CUT, api.Outcome.ERROR, api.Outcome.NO_CONNECTION, None])
-def test_a_request_that_the_module_forgets_is_answered_before_its_client_leaves(
+def test_a_request_without_decision_is_answered_before_its_client_leaves(
     fails_on: type[api.Event] | None, outcome: api.Outcome | None
 ) -> None:
     world = CoreWorld(Forgetful(fails_on))
@@ -118,8 +118,8 @@
 
 
 @pytest.mark.parametrize("wait_us", [0, 1, 299 * MS])
-def test_an_id_that_comes_again_waits_out_the_release_that_is_in_doubt(wait_us: int) -> None:
-    # It was sent at once: under one id, two attempts were out.
+def test_a_repeated_id_waits_for_the_release_of_its_earlier_attempt(wait_us: int) -> None:
+    # It was sent at once, so that two attempts with the same id were pending.
     world, module = decided()
     first = world.ask("r0")
     first.gone = True
@@ -134,10 +134,10 @@
     world.servers.answer(world.servers.written[0])
     assert again.answers == ["stands"]
     world.servers.end(world.servers.standing[0], api.Outcome.SERVED)
-    nothing_is_kept(world, module)
+    assert_nothing_kept(world, module)
 
 
-def test_an_id_that_comes_again_with_less_time_than_the_release_takes_is_answered_in_it() -> None:
+def test_a_repeated_id_with_less_time_than_the_release_is_answered_in_time() -> None:
     world, module = decided()
     first = world.ask("r0")
     first.gone = True
@@ -147,10 +147,10 @@
     assert again.answers == ["failed"]
     world.hand.advance(SECOND)
     assert not world.servers.written
-    nothing_is_kept(world, module)
+    assert_nothing_kept(world, module)
 
 
-def test_a_full_table_of_requests_answers_the_next_one() -> None:
+def test_a_full_table_of_requests_refuses_the_next_one() -> None:
     world, module = decided()
     world.core.calls.size = 1
     world.ask("r0")
@@ -159,4 +159,4 @@
     world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert len(world.servers.written) == 1  # the first goes on
     world.hand.advance(4 * SECOND)
-    nothing_is_kept(world, module)
+    assert_nothing_kept(world, module)
--- a/tests/test_slow_start_pace.py
+++ b/tests/test_slow_start_pace.py
@@ -1,4 +1,4 @@
-"""The pace of one process to a server in slow start: what draws, keeps and ends a gap."""
+"""Pacing of one process to a server in slow start: start, phase and end of a gap."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def starting(**changes: object) -> tuple[World, Switch]:
-    """Return a world with traffic, and its switch s0 that has just started anew."""
+    """Return a world with traffic, and its switch s0, which has just restarted."""
     world = World(switches=4, **changes)  # type: ignore[arg-type]
     for _ in range(10):
         for cell in range(4):
@@ -28,7 +28,7 @@
 
 
 def turn(world: World, switch: Switch, past_us: int = 0) -> None:
-    """Put the end of the gap so long before now."""
+    """Set the gap so that it ended past_us before now."""
     switch.gap_phase = 0.0
     switch.gap_start_us = world.now_us - past_us
 
@@ -47,7 +47,7 @@
     assert (switch.gap_start_us, switch.gap_phase, switch.slow_start_since_us) == (sent_us, phase, started_us)
 
 
-def test_a_server_that_drains_and_is_up_again_keeps_its_ramp_and_a_new_start_begins_it_anew() -> None:
+def test_draining_keeps_the_ramp_of_a_server_and_a_restart_begins_it_again() -> None:
     world, switch = starting()
     first = switch.slow_start_since_us
     world.update_switch("s0", DRAINING, started_at_us=first or 0)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("named", [True, False])
-def test_the_end_of_a_gap_lapses_for_calls_that_do_not_name_the_server(named: bool) -> None:
+def test_calls_that_do_not_name_the_server_are_sent_only_soon_after_a_gap(named: bool) -> None:
     world, switch = starting(fall_us=SECOND // 10)
     turn(world, switch)
     assert not slow_start.must_wait(world.controller, switch, named)
@@ -67,7 +67,7 @@
     assert slow_start.must_wait(world.controller, switch, named) is not named
 
 
-def test_two_calls_in_one_instant_are_not_both_sent() -> None:
+def test_only_one_of_two_simultaneous_calls_is_sent() -> None:
     world, switch = starting()
     turn(world, switch)
     world.call(cell=0)
@@ -76,7 +76,7 @@
     assert world.sent_to() != "s0"
 
 
-def test_a_further_attempt_waits_its_turn_like_a_first_one() -> None:
+def test_a_retry_is_paced_like_a_first_attempt() -> None:
     world, switch = starting()
     for name in ("s2", "s3"):
         world.update_switch(name, DRAINING)
@@ -88,7 +88,7 @@
     assert world.sent_to() != "s0"
 
 
-def test_what_the_core_does_not_send_gives_no_gap_back() -> None:
+def test_a_set_up_that_the_core_does_not_send_still_uses_its_gap() -> None:
     world, switch = starting()
     turn(world, switch)
     call = world.call(cell=0)
@@ -105,25 +105,25 @@
 
 @pytest.mark.parametrize("aim_us", [400 * MS, 2_500 * MS])
 @pytest.mark.parametrize("gateways", [1, 50, 1000])
-def test_what_a_process_that_learned_nothing_sends_is_bounded_by_its_own_calls(
-    gateways: int, aim_us: int
-) -> None:
+def test_sends_of_a_process_without_history_are_bounded_by_its_own_calls(gateways: int, aim_us: int) -> None:
     kind = api.CallClass("low", aim_us, 9 * SECOND, worth=1.0)
     world = World(gateways=gateways, classes=(kind,))
     world.update_switch("s0", READY, started_at_us=world.now_us)
     switch = world.controller.switches["s0"]
-    assert gap(world, switch) > 3600 * SECOND  # no call came yet
+    assert gap(world, switch) > 3600 * SECOND  # no calls yet
     for _ in range(20):
         world.call(cell=0)
         world.advance(50 * MS)
     calls_per_us = (
         mean_per_interval(world.controller, world.controller.arrived_calls) / world.controller.interval_us
     )
-    share = 0.5 * 0.5 * 2.0 * (0.3 + 0.7 / 15)  # half the calls, of two cells one, twice what it can do
+    share = (
+        0.5 * 0.5 * 2.0 * (0.3 + 0.7 / 15)
+    )  # half of the calls, one of two cells, multiple 2, present capacity
     assert gap(world, switch) >= 1 / (share * calls_per_us)
 
 
-def test_a_rate_is_a_mean_and_falls_with_the_traffic() -> None:
+def test_the_mean_rate_falls_with_the_traffic() -> None:
     world = World()
     world.offer_calls(20, 20)
     busy = mean_per_interval(world.controller, world.controller.answered_calls)
