--- a/tests/downstream_world.py
+++ b/tests/downstream_world.py
@@ -29,7 +29,7 @@
 HUNG_S = 30  # a bound for a hung test, not a measure
 
 
-class Module:
+class ScriptedModule:
     """Decides what its script says; asked of nothing, it lets requests wait."""
 
     def __init__(self) -> None:
@@ -40,12 +40,12 @@
         self.events.append(event)
         return self.script(event)
 
-    def calls(self) -> list[str]:
+    def offered_calls(self) -> list[str]:
         """Return the ids of the calls told to it, in their order."""
         return [one.call for one in self.events if isinstance(one, api.NewCall)]
 
 
-class Back:
+class RecordingBack:
     """Asks at the moment of writing, as every back does, and remembers what it wrote and was told."""
 
     def __init__(self) -> None:
@@ -90,8 +90,8 @@
         self.world = world
         self.socket = socket.create_connection(world.address)
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, True)
-        self.got: list[dict[str, Any]] = []
-        self.rest = b""
+        self.messages: list[dict[str, Any]] = []
+        self.partial_line = b""
         self.ended = ""  # "end" or "reset", once the controller's side has ended
 
     def send(self, data: bytes) -> None:
@@ -114,8 +114,8 @@
             while not self.ended:
                 data = self.socket.recv(65536)
                 self.ended = "" if data else "end"
-                *lines, self.rest = (self.rest + data).split(b"\n")
-                self.got += [json.loads(line) for line in lines]
+                *lines, self.partial_line = (self.partial_line + data).split(b"\n")
+                self.messages += [json.loads(line) for line in lines]
         except BlockingIOError:
             pass
         except ConnectionResetError:
@@ -124,16 +124,16 @@
             self.socket.setblocking(True)
         return self.ended
 
-    def told(self, uid: str) -> list[tuple[str, Any]]:
+    def messages_about(self, uid: str) -> list[tuple[str, Any]]:
         """Return kind and cause of each message about an id so far."""
         self.read()
-        return [(one["kind"], one.get("reason")) for one in self.got if one["uid"] == uid]
+        return [(one["kind"], one.get("reason")) for one in self.messages if one["uid"] == uid]
 
     def sync(self) -> None:
         """Run the loop until all that was sent before has been handled."""
         self.send(line("check", "sync", reason=0))
-        count = len(self.told("sync"))
-        self.world.until(lambda: len(self.told("sync")) > count)
+        count = len(self.messages_about("sync"))
+        self.world.until(lambda: len(self.messages_about("sync")) > count)
 
 
 class DownstreamWorld:
@@ -144,7 +144,7 @@
         self.clock = HandClock()
         self.deadlines = self.clock.deadlines
         self.counters = Counters()
-        self.module, self.back = Module(), Back()
+        self.module, self.back = ScriptedModule(), RecordingBack()
         self.core = CallControl(self.module, SETTINGS, self.deadlines, self.limits, self.counters)
         self.core.attach(self.back)
         self.back.core = self.core
@@ -156,7 +156,7 @@
         listen(reactor, "127.0.0.1", 0, self.front).addCallback(self.ports.append)
         self.address = ("127.0.0.1", self.ports[0].getHost().port)
 
-    def turn(self) -> None:
+    def run_loop_once(self) -> None:
         """Run the loop once: what is due, then what the sockets have."""
         self.clock.run_due()
         reactor.iterate(0.001)
@@ -165,38 +165,38 @@
         end = time.monotonic() + HUNG_S
         while not holds():
             assert time.monotonic() < end, "it never came to hold"
-            self.turn()
+            self.run_loop_once()
 
-    def pass_us(self, us: int) -> None:
+    def advance_us(self, us: int) -> None:
         """Let time pass in which the loop does not run, then run what has fallen due, and nothing else."""
         self.clock.time_us += us
         self.clock.run_due()
 
-    def unaccepted(self) -> RawClient:
+    def connect_unaccepted(self) -> RawClient:
         """Connect a client; its connection lies in the listen queue."""
         self.clients.append(RawClient(self))
         return self.clients[-1]
 
-    def client(self) -> RawClient:
+    def connect_client(self) -> RawClient:
         """Connect a client and accept its connection."""
         known = self.counters["client.connections"]
-        client = self.unaccepted()
+        client = self.connect_unaccepted()
         self.until(lambda: self.counters["client.connections"] > known)
         return client
 
-    def connection(self, client: RawClient) -> ClientConnection:
+    def connection_of(self, client: RawClient) -> ClientConnection:
         """Return the front's end of a client's connection."""
         port = client.socket.getsockname()[1]
         ends = (*self.front.connections.values(), *self.front.over_limit_connections.connections)
         return next(one for one in ends if one.transport.getPeer().port == port)
 
-    def arrived(self, connection: ClientConnection) -> None:
+    def wait_for_input(self, connection: ClientConnection) -> None:
         """Wait until something lies unread for a connection, without running the loop."""
         poll = select.poll()
         poll.register(connection.transport.fileno(), select.POLLIN)
         assert poll.poll(HUNG_S * 1000), "nothing came"
 
-    def waiting(self, client: RawClient, uid: str) -> int:
+    def send_request(self, client: RawClient, uid: str) -> int:
         """Send a request that the module lets wait; returns the front's handle of it."""
         client.send(request(uid))
         self.until(lambda: self.front.requests.find(uid))
@@ -204,25 +204,25 @@
         assert found
         return found.ref
 
-    def decide(self, *actions: api.Action) -> None:
+    def act(self, *actions: api.Action) -> None:
         """Let the module act now."""
         due, usual = api.TimerDue(0), self.module.script
         self.module.script = lambda event: list(actions) if event is due else []
         self.core.feed.put(due)
         self.module.script = usual
 
-    def stands(self, uid: str) -> None:
+    def accept_call(self, uid: str) -> None:
         """Send a request on and let its server answer it."""
-        self.decide(api.Send(uid, "s0", 0))
+        self.act(api.Send(uid, "s0", 0))
         assert self.core.stood(self.back.attempts[-1], "v=1")
 
-    def end(self) -> None:
+    def close(self) -> None:
         for client in self.clients:
             client.socket.close()
         self.ports[0].stopListening()
         self.until(lambda: not self.front.connections and not self.front.over_limit_connections.connections)
         for _ in range(3):
-            self.turn()
+            self.run_loop_once()
 
 
 def line(kind: str, uid: str, **more: Any) -> bytes:
--- a/tests/held_connects.py
+++ b/tests/held_connects.py
@@ -30,11 +30,11 @@
         self.failing.append(lambda: made.errback(TimeoutError("never came up")))
         return made
 
-    def held(self, number: int = 1) -> None:
+    def wait_for(self, number: int = 1) -> None:
         """Run until so many connections wait."""
         until(lambda: len(self.waiting) >= number)
 
-    def open(self) -> None:
+    def complete_all(self) -> None:
         """Let those that wait come up."""
         waiting, self.waiting, self.failing = self.waiting, [], []
         for go in waiting:
--- a/tests/stalled.py
+++ b/tests/stalled.py
@@ -9,13 +9,13 @@
 from bitternbeam.tables.deadlines import Deadlines
 
 
-def stand_still(deadlines: Deadlines, until_us: int) -> None:
+def block_loop_until(deadlines: Deadlines, until_us: int) -> None:
     """Keep the loop from its turn until then; the caller is what the reactor would run."""
     while deadlines.now_us() < until_us:
         pass
 
 
-def write_now(peer: Any, kind: str, uid: str, **more: Any) -> None:
+def write_to_socket(peer: Any, kind: str, uid: str, **more: Any) -> None:
     """Write a message so that it lies in the other side's socket when this returns."""
     line = json.dumps({"kind": kind, "uid": uid, "meta": {}, **more}).encode() + b"\n"
     connected: socket.socket = getattr(peer, "transport", peer)
@@ -23,7 +23,7 @@
     assert connected.send(line) == len(line)
 
 
-def set_up_now(stage: Any, uid: str) -> None:
+def deliver_request(stage: Any, uid: str) -> None:
     """Let a request be read at this moment, whatever lies unread elsewhere."""
     (client,) = stage.front.connections.values()
     meta = {"class": "low", "left": "3000", "key": "n", "extras": "dest:0;width:1;via:-1"}
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -22,7 +22,7 @@
 from tests.loop import parts, pause, reactor, until
 from tests.test_board import Board, boards, event
 from tests.test_daemon import configuration
-from tests.test_platform import FIGURES, Peer
+from tests.test_platform import EXTRAS, Peer
 
 __all__ = ["boards"]
 ROOT = Path(__file__).parents[1]
@@ -188,9 +188,9 @@
                 if uid not in self.answered:
                     self.answered.add(uid)
                     if uid[0] == "a":
-                        peer.say("running", uid, body="x")
+                        peer.send("running", uid, body="x")
                     else:
-                        peer.say("stop", uid, reason=17)
+                        peer.send("stop", uid, reason=17)
         return tries
 
 
@@ -198,7 +198,7 @@
     # Counted where each event happens: served, failed, refused and attempts, as the test itself saw them.
     bookers = Bookers()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration(bookers.notice()) | {"board": boards[0].where}))
+    path.write_text(json.dumps(configuration(bookers.notice()) | {"board": boards[0].address}))
     admin = free_port()
     daemon = start(path, admin)
     assert daemon.stderr
@@ -214,10 +214,10 @@
         until(lambda: callers)
         uids = [f"{'a' if n % 3 else 'b'}{n:015x}" for n in range(30)]
         for uid in uids:
-            meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": FIGURES}
-            callers[0].say("launch", uid, meta=meta, body="v=0")
-        meta = {"class": "no-such-class", "left": "3000", "key": "n", "extras": FIGURES}
-        callers[0].say("launch", "c" * 16, meta=meta, body="v=0")
+            meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": EXTRAS}
+            callers[0].send("launch", uid, meta=meta, body="v=0")
+        meta = {"class": "no-such-class", "left": "3000", "key": "n", "extras": EXTRAS}
+        callers[0].send("launch", "c" * 16, meta=meta, body="v=0")
 
         def finals() -> dict[str, list[Any]]:
             bookers.answer()
@@ -319,8 +319,8 @@
 
         def made(peer: Peer) -> None:
             self.callers.append(peer)
-            meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": FIGURES}
-            peer.say("launch", uid, meta=meta, body="v=0")
+            meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": EXTRAS}
+            peer.send("launch", uid, meta=meta, body="v=0")
 
         connect(reactor, "127.0.0.1", self.port, 2_000_000, Peer).addCallbacks(made, self.failed.append)
 
@@ -349,7 +349,7 @@
     # accept(); without the old one letting go at SIGTERM, connections queue where nobody reads them.
     bookers = Bookers()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration(bookers.notice()) | {"board": boards[0].where}))
+    path.write_text(json.dumps(configuration(bookers.notice()) | {"board": boards[0].address}))
     shared = socket.socket()
     shared.bind(("127.0.0.1", 0))
     shared.listen(512)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -13,25 +13,25 @@
 def world() -> Iterator[DownstreamWorld]:
     one = DownstreamWorld()
     yield one
-    one.end()
+    one.close()
 
 
 @pytest.mark.parametrize("reads", [False, True])
 def test_who_reads_late_is_not_cut_off_by_a_watch_on_its_past(world: DownstreamWorld, reads: bool) -> None:
     # Each write over the transport's mark set a watch of its own, and only the last one was called off.
-    client = world.client()
-    world.waiting(client, ID)
-    connection = world.connection(client)
+    client = world.connect_client()
+    world.send_request(client, ID)
+    connection = world.connection_of(client)
     while not connection.transport.producerPaused:
         connection.send({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
     for _ in range(3):
         connection.send({"kind": "staging", "uid": ID, "meta": {}})
     if reads:
-        world.until(lambda: client.told(ID) and not connection.transport.producerPaused)
-    world.pass_us(world.limits.stalled_us - 1)
+        world.until(lambda: client.messages_about(ID) and not connection.transport.producerPaused)
+    world.advance_us(world.limits.stalled_us - 1)
     assert connection.is_open
-    world.pass_us(1)
+    world.advance_us(1)
     assert connection.is_open is reads
     if reads:
-        world.stands(ID)
-        world.until(lambda: ("running", None) in client.told(ID))
+        world.accept_call(ID)
+        world.until(lambda: ("running", None) in client.messages_about(ID))
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -201,14 +201,14 @@
 def test_a_reload_with_a_bad_figure_keeps_the_old_configuration(boards: list[Board], tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     raw = configuration(event(3, "up", full=True))
-    path.write_text(json.dumps(raw | {"board": boards[0].where}))
+    path.write_text(json.dumps(raw | {"board": boards[0].address}))
     daemon = start(path)
     assert daemon.stderr
     try:
-        boards[0].asked()
+        boards[0].requested()
         while b"listens" not in daemon.stderr.readline():
             pass
-        bad = copy.deepcopy(raw) | {"board": boards[1].where}
+        bad = copy.deepcopy(raw) | {"board": boards[1].address}
         bad["settings"]["safety"]["fall_us"] = 0
         path.write_text(json.dumps(bad))
         daemon.send_signal(signal.SIGHUP)
@@ -216,10 +216,10 @@
         assert line.endswith(
             b"SIGHUP: settings: 'safety.fall_us' must be above 0, not 0; the old configuration stands\n"
         )
-        path.write_text(json.dumps(raw | {"board": boards[1].where}))
+        path.write_text(json.dumps(raw | {"board": boards[1].address}))
         daemon.send_signal(signal.SIGHUP)
-        until(lambda: boards[1].desks)
-        assert len(boards[0].desks) == len(boards[1].desks) == 1  # the bad one moved nothing
+        until(lambda: boards[1].peers)
+        assert len(boards[0].peers) == len(boards[1].peers) == 1  # the bad one moved nothing
         daemon.send_signal(signal.SIGTERM)
         _, said = daemon.communicate(timeout=30)
     finally:
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -29,19 +29,19 @@
 ROOT = Path(__file__).parents[1]
 
 
-class Desk(LineOnlyReceiver):
+class WatchPeer(LineOnlyReceiver):
     """One connection of a scripted board."""
 
     delimiter = b"\n"
     transport: Any
 
     def __init__(self) -> None:
-        self.asked: list[bytes] = []
+        self.received_lines: list[bytes] = []
 
     def lineReceived(self, line: bytes) -> None:
-        self.asked.append(line)
+        self.received_lines.append(line)
 
-    def tell(self, rev: int, state: str, full: bool = False, booker: str = "s0") -> bytes:
+    def send_event(self, rev: int, state: str, full: bool = False, booker: str = "s0") -> bytes:
         line = event(rev, state, full, booker)
         self.transport.write(line)
         return line
@@ -56,20 +56,20 @@
     """A scripted board: every connection made to it."""
 
     def __init__(self, port: int = 0) -> None:
-        self.desks: list[Desk] = []
+        self.peers: list[WatchPeer] = []
         self.ports: list[Any] = []
         factory: Any = Factory()
-        factory.buildProtocol = lambda _addr: self.desks.append(Desk()) or self.desks[-1]  # type: ignore[func-returns-value]
+        factory.buildProtocol = lambda _addr: self.peers.append(WatchPeer()) or self.peers[-1]  # type: ignore[func-returns-value]
         listen(reactor, "127.0.0.1", port, factory).addCallback(self.ports.append)
-        self.where = f"127.0.0.1:{self.ports[0].getHost().port}"
+        self.address = f"127.0.0.1:{self.ports[0].getHost().port}"
 
-    def asked(self, count: int = 1) -> list[bytes]:
+    def requested(self, count: int = 1) -> list[bytes]:
         """Wait for so many connections and return what was asked on the last."""
-        until(lambda: len(self.desks) >= count and self.desks[-1].asked)
-        return self.desks[-1].asked
+        until(lambda: len(self.peers) >= count and self.peers[-1].received_lines)
+        return self.peers[-1].received_lines
 
     def close(self) -> None:
-        for desk in self.desks:
+        for desk in self.peers:
             if desk.transport:
                 desk.transport.abortConnection()
         self.ports[0].stopListening()
@@ -84,7 +84,7 @@
     pause(0.02)
 
 
-class Client:
+class WatchHarness:
     """The client under test and what it has brought to the core."""
 
     def __init__(self, board: Board, limits: Limits) -> None:
@@ -95,7 +95,7 @@
         known = {"rev": 3, "notices": [json.loads(event(3, "up", full=True))]}
         self.watch = DiscoveryWatch(
             reactor=reactor,
-            address=board.where,
+            address=board.address,
             update=ServerList(self.core, self.back).update,
             deadlines=deadlines,
             limits=limits,
@@ -103,72 +103,81 @@
         )
         self.watch.start(known)
 
-    def told(self, state: SwitchState | None, booker: str = "s0") -> None:
+    def wait_for_state(self, state: SwitchState | None, booker: str = "s0") -> None:
         until(lambda: self.core.listed_as.get(booker) is state)
 
 
 @pytest.fixture
-def client(boards: list[Board]) -> Iterator[Client]:
-    one = Client(boards[0], Limits(discovery_silent_us=300_000, discovery_first_line_us=300_000))
-    assert boards[0].asked() == [b"watch 3"]
+def client(boards: list[Board]) -> Iterator[WatchHarness]:
+    one = WatchHarness(boards[0], Limits(discovery_silent_us=300_000, discovery_first_line_us=300_000))
+    assert boards[0].requested() == [b"watch 3"]
     yield one
     one.watch.stop()
     one.back.close_all()
 
 
-def test_events_come_once_and_in_order(client: Client, boards: list[Board]) -> None:
-    desk = boards[0].desks[0]
-    desk.transport.write(desk.tell(4, "draining") + b"4\n")  # written twice
-    desk.tell(5, "up", booker="s1")
-    client.told(SwitchState.READY, "s1")
-    client.told(SwitchState.DRAINING)
+def test_events_come_once_and_in_order(client: WatchHarness, boards: list[Board]) -> None:
+    desk = boards[0].peers[0]
+    desk.transport.write(desk.send_event(4, "draining") + b"4\n")  # written twice
+    desk.send_event(5, "up", booker="s1")
+    client.wait_for_state(SwitchState.READY, "s1")
+    client.wait_for_state(SwitchState.DRAINING)
     assert client.counters["discovery.repeated_events"] == 1 and client.counters["discovery.events"] == 3
     desk.transport.write(b'{"rev":5}\n5\n')
-    desk.tell(6, "removed")
-    client.told(None)
-    assert len(boards[0].desks) == 1
+    desk.send_event(6, "removed")
+    client.wait_for_state(None)
+    assert len(boards[0].peers) == 1
 
 
-def break_off(desk: Desk) -> None:
+def close_mid_event(desk: WatchPeer) -> None:
     desk.transport.write(event(4, "draining")[:30])
     desk.transport.loseConnection()
 
 
-def stop_mid_event(desk: Desk) -> None:
+def stall_mid_event(desk: WatchPeer) -> None:
     desk.transport.write(event(4, "draining")[:30])
 
 
-def skip_one(desk: Desk) -> None:
-    desk.tell(5, "removed")
+def skip_event(desk: WatchPeer) -> None:
+    desk.send_event(5, "removed")
 
 
-def count_on(desk: Desk) -> None:
+def send_higher_heartbeat(desk: WatchPeer) -> None:
     desk.transport.write(b"4\n")
 
 
-def count_on_in_an_object(desk: Desk) -> None:
+def send_higher_heartbeat_object(desk: WatchPeer) -> None:
     desk.transport.write(b'{"rev":4}\n')
 
 
-def say_noise(desk: Desk) -> None:
+def send_malformed_line(desk: WatchPeer) -> None:
     desk.transport.write(b'{"rev":4,"pool":{"full":fal\xff\n')
 
 
-def say_endless(desk: Desk) -> None:
+def send_endless_line(desk: WatchPeer) -> None:
     desk.transport.write(b"{" + b"x" * 40_000)
 
 
 @pytest.mark.parametrize(
-    "fault", [break_off, stop_mid_event, skip_one, count_on, count_on_in_an_object, say_noise, say_endless]
+    "fault",
+    [
+        close_mid_event,
+        stall_mid_event,
+        skip_event,
+        send_higher_heartbeat,
+        send_higher_heartbeat_object,
+        send_malformed_line,
+        send_endless_line,
+    ],
 )
 def test_what_a_faulty_board_did_not_tell_is_asked_for_again(
-    client: Client, boards: list[Board], fault: Any
+    client: WatchHarness, boards: list[Board], fault: Any
 ) -> None:
     # Whether told or not it counts as told soon: sends to a booker that drains would break a rule.
-    fault(boards[0].desks[0])
-    assert boards[0].asked(2) == [b"watch 3"]
-    boards[0].desks[1].tell(4, "draining")
-    client.told(SwitchState.DRAINING)
+    fault(boards[0].peers[0])
+    assert boards[0].requested(2) == [b"watch 3"]
+    boards[0].peers[1].send_event(4, "draining")
+    client.wait_for_state(SwitchState.DRAINING)
 
 
 def test_the_times_leave_room_within_the_rules() -> None:
@@ -209,13 +218,13 @@
     known = {"rev": 3, "notices": [json.loads(event(3, "up", full=True))]}
     settings = read_settings(raw["settings"])
     config = Config(
-        "n0", "127.0.0.1", 0, 1, boards[0].where, known, settings, Limits(discovery_settle_us=400_000)
+        "n0", "127.0.0.1", 0, 1, boards[0].address, known, settings, Limits(discovery_settle_us=400_000)
     )
     deadlines, counters = parts()
     part = PlatformPart(Common(reactor, config, deadlines, config.limits, counters))
     part.start()
-    assert boards[0].asked() == [b"watch 3"] and not part.ready()
-    desk = boards[0].desks[0]
+    assert boards[0].requested() == [b"watch 3"] and not part.ready()
+    desk = boards[0].peers[0]
     if says == "two in pieces":
         desk.transport.write(event(4, "draining")[:20])
         pause(0.05)
@@ -235,7 +244,7 @@
     settings = read_settings(raw["settings"])
     boards[0].ports[0].stopListening()
     pause(0.02)
-    config = Config("n0", "127.0.0.1", 0, 1, boards[0].where, known, settings, Limits())
+    config = Config("n0", "127.0.0.1", 0, 1, boards[0].address, known, settings, Limits())
     deadlines, counters = parts()
     part = PlatformPart(Common(reactor, config, deadlines, config.limits, counters))
     part.start()
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -22,40 +22,40 @@
 def world() -> Iterator[DownstreamWorld]:
     one = DownstreamWorld()
     yield one
-    one.end()
+    one.close()
 
 
 def held_by_the_module(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
     """Wait for the first list, or for room at a server."""
-    world.waiting(client, ID)
+    world.send_request(client, ID)
     leave()
-    world.decide(SEND)
+    world.act(SEND)
 
 
 def for_a_retry(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
     """Wait after a refusal by a server."""
-    world.waiting(client, ID)
-    world.decide(SEND)
+    world.send_request(client, ID)
+    world.act(SEND)
     world.core.ended(world.back.attempts.pop(), End(api.Outcome.TURNED_AWAY))
     leave()
-    world.decide(SEND)
+    world.act(SEND)
 
 
 def for_the_pause_after_a_reset(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
     """Wait until an attempt in doubt has been released."""
-    world.waiting(client, ID)
-    world.decide(SEND)
+    world.send_request(client, ID)
+    world.act(SEND)
     world.core.ended(world.back.attempts.pop(), End(api.Outcome.CUT))
     leave()
     world.clock.time_us += world.core.settings.release_wait_us
-    world.decide(SEND)
+    world.act(SEND)
 
 
 def for_an_upstream_connection(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
     """Wait at a server to which none is up."""
-    world.waiting(client, ID)
+    world.send_request(client, ID)
     world.back.connected = False
-    world.decide(SEND)
+    world.act(SEND)
     assert world.back.waiting
     leave()
     world.back.connect()
@@ -63,9 +63,9 @@
 
 def in_the_event_queue(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
     """Wait behind the event at which the module is."""
-    connection = world.connection(client)
+    connection = world.connection_of(client)
     client.send(request(ID))
-    world.arrived(connection)
+    world.wait_for_input(connection)
 
     def busy(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.TimerDue):
@@ -101,18 +101,20 @@
     wait: Callable[[DownstreamWorld, RawClient, Leave], None],
     leave: Callable[[RawClient], None],
 ) -> None:
-    client = world.client()
-    connection = world.connection(client)
+    client = world.connect_client()
+    connection = world.connection_of(client)
     stays = leave is LEAVES["stays"]
 
     def left() -> None:
         leave(client)
         if not stays:
-            world.arrived(connection)
+            world.wait_for_input(connection)
 
     wait(world, client, left)
     assert [one.offer.uid for one in world.back.attempts] == ([ID] if stays else [])
     assert (ID in world.core.by_uid) is stays and (world.front.requests.find(ID) is not None) is stays
     if leave is RawClient.half_close:
         world.until(client.read)
-        assert client.told(ID) == [("stop", 41)] and client.ended == "end"  # it may still be reading
+        assert (
+            client.messages_about(ID) == [("stop", 41)] and client.ended == "end"
+        )  # it may still be reading
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -41,7 +41,7 @@
     def __init__(self, folder: Path, board: Board) -> None:
         self.folder = folder
         self.socket = folder / "ops.sock"
-        raw = configuration(event(3, "up", full=True)) | {"board": board.where}
+        raw = configuration(event(3, "up", full=True)) | {"board": board.address}
         (folder / "config.json").write_text(json.dumps(raw))
         self.daemon: subprocess.Popen[bytes] | None = None
 
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -13,7 +13,7 @@
 from tests.held_connects import HeldConnects
 from tests.loop import pause, reactor, until
 from tests.patience import PATIENT
-from tests.stalled import set_up_now, write_now
+from tests.stalled import deliver_request, write_to_socket
 from tests.test_platform import ID, ID2, LIMITS, Peer, Stage
 
 
@@ -22,10 +22,10 @@
     one = Stage(PATIENT)
     pause(0.02)  # with polls that find nothing: what a test hands over after them has come just now
     yield one
-    one.end()
+    one.close()
 
 
-def finished(server: Peer) -> None:
+def close_both_ways(server: Peer) -> None:
     server.transport.socket.shutdown(socket.SHUT_RDWR)
 
 
@@ -35,7 +35,7 @@
     assert server.lost
 
 
-@pytest.mark.parametrize("close", [finished, reset])
+@pytest.mark.parametrize("close", [close_both_ways, reset])
 def test_a_set_up_that_crosses_an_idle_close_is_sent_again_after_the_pause(
     stage: Stage, close: Callable[[Peer], None]
 ) -> None:
@@ -43,73 +43,73 @@
     (server,) = stage.bookers
     until(lambda: stage.back.pools["s0"].connections)
     close(server)
-    set_up_now(stage, ID)
+    deliver_request(stage, ID)
     assert stage.core.by_uid[ID].out is not None
     written_us = stage.core.clock.now_us()
     until(lambda: stage.counters["outcomes.cut"] == 1)
     assert stage.core.by_uid[ID].held_until_us >= written_us + stage.core.settings.release_wait_us
-    until(lambda: stage.at(ID))
+    until(lambda: stage.peers(ID))
     assert stage.core.clock.now_us() >= written_us + stage.core.settings.release_wait_us
-    stage.at(ID)[-1].say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID) == [("running", None)])
+    stage.peers(ID)[-1].send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID) == [("running", None)])
 
 
 @pytest.mark.parametrize("part", [b'{"kind":"running","uid":"', b'{"kind":"running","uid":"' + ID.encode()])
 def test_an_answer_that_breaks_off_counts_as_none(stage: Stage, part: bytes) -> None:
-    server = stage.launch(ID)
+    server = stage.set_up(ID)
     server.transport.write(part)
     server.transport.loseConnection()
-    until(lambda: len(stage.at(ID)) == 2)
-    assert stage.counters["outcomes.cut"] == 1 and not stage.caller.got
-    stage.at(ID)[-1].say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID) == [("running", None)])
+    until(lambda: len(stage.peers(ID)) == 2)
+    assert stage.counters["outcomes.cut"] == 1 and not stage.client.got
+    stage.peers(ID)[-1].send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID) == [("running", None)])
 
 
 @pytest.mark.parametrize("first", ["running", "stop"])
 def test_an_answer_that_crosses_the_cancel_reaches_nobody(stage: Stage, first: str) -> None:
-    server = stage.launch(ID)
-    stage.caller.say("stop", ID, reason=16)
+    server = stage.set_up(ID)
+    stage.client.send("stop", ID, reason=16)
     until(lambda: server.kinds(ID)[1:] == [("stop", 16)])
-    server.say(first, ID, body="x", reason=34)
-    server.say("running", ID, body="y")
-    server.say("check", "t", reason=0)
+    server.send(first, ID, body="x", reason=34)
+    server.send("running", ID, body="y")
+    server.send("check", "t", reason=0)
     until(lambda: server.kinds("t"))
-    assert not stage.caller.got and not server.lost
+    assert not stage.client.got and not server.lost
     assert not stage.core.calls and not stage.back.requests
 
 
 def test_answers_behind_a_refusal_or_on_another_connection_reach_nobody(stage: Stage) -> None:
-    server = stage.launch(ID)
-    other = stage.launch(ID2)
-    other.say("running", ID, body="from elsewhere")
-    other.say("check", "t", reason=0)
+    server = stage.set_up(ID)
+    other = stage.set_up(ID2)
+    other.send("running", ID, body="from elsewhere")
+    other.send("check", "t", reason=0)
     until(lambda: other.kinds("t"))
-    assert not stage.caller.got
-    server.say("stop", ID, reason=17)
-    server.say("running", ID, body="after its end")
-    server.say("check", "t", reason=0)
+    assert not stage.client.got
+    server.send("stop", ID, reason=17)
+    server.send("running", ID, body="after its end")
+    server.send("check", "t", reason=0)
     until(lambda: server.kinds("t"))
-    assert not [one for one in stage.caller.got if one["kind"] == "running"]
-    other.say("running", ID2, body="x")
-    until(lambda: stage.caller.kinds(ID2) == [("running", None)])
+    assert not [one for one in stage.client.got if one["kind"] == "running"]
+    other.send("running", ID2, body="x")
+    until(lambda: stage.client.kinds(ID2) == [("running", None)])
 
 
 def test_an_answer_on_a_connection_that_was_set_aside_reaches_nobody_twice(stage: Stage) -> None:
-    first = stage.launch(ID)
+    first = stage.set_up(ID)
     pause(0.05)
-    stage.launch(ID2).say("running", ID2, body="x")
+    stage.set_up(ID2).send("running", ID2, body="x")
     until(lambda: stage.counters["booker.set_aside.overtaken"] == 1)
-    first.say("running", ID, body="late")
-    until(lambda: len(stage.at(ID)) == 2)
-    stage.at(ID)[1].say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID))
+    first.send("running", ID, body="late")
+    until(lambda: len(stage.peers(ID)) == 2)
+    stage.peers(ID)[1].send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID))
     pause(0.05)
-    assert [one["body"] for one in stage.caller.got if one["uid"] == ID] == ["x"]
+    assert [one["body"] for one in stage.client.got if one["uid"] == ID] == ["x"]
 
 
 def test_a_fault_over_one_message_does_not_lose_the_answer_behind_it(stage: Stage) -> None:
     # The connection was closed over it, with every set-up on it.
-    server = stage.launch(ID)
+    server = stage.set_up(ID)
     usual = stage.core.stood
     faults: list[str] = []
 
@@ -123,15 +123,15 @@
     pool = stage.back.pools["s0"]
     (connection,) = {leg.connection for leg in stage.back.requests.values()}
     pool.least_loaded = lambda: connection  # type: ignore[method-assign, assignment, return-value]
-    assert stage.launch(ID2) is server
+    assert stage.set_up(ID2) is server
     answers = b"".join(
         json.dumps({"kind": "running", "uid": uid, "meta": {}, "body": "x"}).encode() + b"\n"
         for uid in (ID, ID2)
     )
     server.transport.write(answers)  # in one read
-    until(lambda: stage.caller.kinds(ID2) == [("running", None)])
+    until(lambda: stage.client.kinds(ID2) == [("running", None)])
     assert faults == [ID] and not server.lost
-    until(lambda: stage.caller.kinds(ID))  # its own time ends it
+    until(lambda: stage.client.kinds(ID))  # its own time ends it
 
 
 def test_a_connection_that_never_comes_up_does_not_end_what_waits_for_another(
@@ -140,15 +140,15 @@
     # One in fifty never comes up: its time-out ended younger attempts, and put their server on trials.
     connects = HeldConnects(monkeypatch)
     stage.bookers[0].transport.abortConnection()
-    connects.held(1)
-    stage.ask(stage.caller, ID)
-    connects.held(2)
+    connects.wait_for(1)
+    stage.request(stage.client, ID)
+    connects.wait_for(2)
     connects.fail_first()
     assert ID in stage.back.requests and not stage.counters["outcomes.no_connection"]
-    connects.open()
-    until(lambda: stage.at(ID))
-    stage.at(ID)[0].say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID) == [("running", None)])
+    connects.complete_all()
+    until(lambda: stage.peers(ID))
+    stage.peers(ID)[0].send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID) == [("running", None)])
     assert not stage.module.switches["s0"].suspect
 
 
@@ -157,23 +157,23 @@
 ) -> None:
     connects = HeldConnects(monkeypatch)
     stage.bookers[0].transport.abortConnection()
-    connects.held(1)
-    stage.ask(stage.caller, ID)
-    connects.held(2)
+    connects.wait_for(1)
+    stage.request(stage.client, ID)
+    connects.wait_for(2)
     connects.fail_first()
     connects.fail_first()
     assert stage.counters["outcomes.no_connection"] == 1
-    until(lambda: stage.caller.kinds(ID) == [("stop", 34)])
+    until(lambda: stage.client.kinds(ID) == [("stop", 34)])
     assert not stage.back.requests and stage.back.pools["s0"].connecting == 0
 
 
 def test_a_release_that_comes_before_its_answer_ends_the_attempt_once(stage: Stage) -> None:
-    server = stage.launch(ID)
-    write_now(server, "stop", ID, reason=16)
-    write_now(server, "running", ID, body="x")
-    until(lambda: len(stage.caller.got) == 1 or len(stage.at(ID)) == 2)
+    server = stage.set_up(ID)
+    write_to_socket(server, "stop", ID, reason=16)
+    write_to_socket(server, "running", ID, body="x")
+    until(lambda: len(stage.client.got) == 1 or len(stage.peers(ID)) == 2)
     pause(0.05)
-    finals = stage.caller.kinds(ID)
+    finals = stage.client.kinds(ID)
     assert len(finals) <= 1 and ("running", None) not in finals
 
 
@@ -192,11 +192,11 @@
     connection.transport.write(b'{"kind":"stopped","uid":""}\n' * 500_000)  # more than the kernel takes
     until(lambda: connection.has_unsent_output)
     connection.last_received_us = stage.core.clock.now_us() + 1  # of equals it would be taken
-    set_up_now(stage, ID)
+    deliver_request(stage, ID)
     assert list(connection.pending) == []
     (leg,) = stage.back.requests.values()
     assert leg.connection is not None and leg.connection is not connection
-    until(lambda: stage.at(ID))
-    assert ID not in slow.seen
+    until(lambda: stage.peers(ID))
+    assert ID not in slow.launches
     slow.transport.abortConnection()
-    stage.end()
+    stage.close()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -16,7 +16,7 @@
 from bitternbeam.net.connect import connect, listen
 from tests.loop import pause, reactor, until
 from tests.test_board import Board, boards, event
-from tests.test_platform import FIGURES, ID, ID2, Peer
+from tests.test_platform import EXTRAS, ID, ID2, Peer
 
 __all__ = ["boards"]
 ROOT = Path(__file__).parents[1]
@@ -38,28 +38,28 @@
     # Without a handler the signal ended the process, and a bad file must not end it either.
     path = tmp_path / "config.json"
     raw = configuration(event(3, "up", full=True))
-    path.write_text(json.dumps(raw | {"board": boards[0].where}))
+    path.write_text(json.dumps(raw | {"board": boards[0].address}))
     daemon = start(path)
     try:
-        assert boards[0].asked() == [b"watch 3"]
-        boards[0].desks[0].tell(4, "draining")
+        assert boards[0].requested() == [b"watch 3"]
+        boards[0].peers[0].send_event(4, "draining")
         pause(0.2)
-        path.write_text(json.dumps(raw | {"board": boards[1].where}))
+        path.write_text(json.dumps(raw | {"board": boards[1].address}))
         daemon.send_signal(signal.SIGHUP)
-        assert boards[1].asked() == [b"watch 4"]  # the numbering goes on
+        assert boards[1].requested() == [b"watch 4"]  # the numbering goes on
         path.write_text("{")
         daemon.send_signal(signal.SIGHUP)
         pause(0.5)
-        path.write_text(json.dumps(raw | {"board": boards[0].where}))
+        path.write_text(json.dumps(raw | {"board": boards[0].address}))
         daemon.send_signal(signal.SIGHUP)
-        assert boards[0].asked(2) == [b"watch 4"]
+        assert boards[0].requested(2) == [b"watch 4"]
         daemon.send_signal(signal.SIGTERM)
         _, said = daemon.communicate(timeout=30)
     finally:
         daemon.kill()
     assert daemon.returncode == 0
     assert b"counter reloads 2\n" in said and b"counter reloads.bad 1\n" in said
-    assert len(boards[1].desks) == 1
+    assert len(boards[1].peers) == 1
 
 
 def one_booker(board: Board, folder: Path) -> tuple[list[Peer], list[Any], Path]:
@@ -72,7 +72,7 @@
     notice = json.loads(event(3, "up", full=True))
     notice["pool"]["servers"][0]["addr"] = f"127.0.0.1:{ports[0].getHost().port}"
     path = folder / "config.json"
-    path.write_text(json.dumps(configuration(json.dumps(notice).encode()) | {"board": board.where}))
+    path.write_text(json.dumps(configuration(json.dumps(notice).encode()) | {"board": board.address}))
     return bookers, ports, path
 
 
@@ -90,10 +90,10 @@
             count = len(callers)
             connect(reactor, "127.0.0.1", int(found[1]), 500_000, Peer).addCallback(callers.append)
             until(lambda: len(callers) > count)
-            meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": FIGURES}
-            callers[-1].say("launch", uid, meta=meta, body="v=0")
-            until(lambda: any(uid in one.seen for one in bookers))
-            next(one for one in bookers if uid in one.seen).say("running", uid, body="x")
+            meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": EXTRAS}
+            callers[-1].send("launch", uid, meta=meta, body="v=0")
+            until(lambda: any(uid in one.launches for one in bookers))
+            next(one for one in bookers if uid in one.launches).send("running", uid, body="x")
             until(lambda: callers[-1].kinds(uid))
             return callers[-1]
 
@@ -105,8 +105,8 @@
         pause(0.7)
         assert first.kinds(ID) == [("running", None)] and daemon.poll() is None
         for one in bookers:
-            for uid in one.seen:
-                one.say("stop", uid, reason=16)
+            for uid in one.launches:
+                one.send("stop", uid, reason=16)
         until(lambda: daemon.poll() is not None)
         until(lambda: first.lost)
         assert first.kinds(ID) == [("running", None), ("stop", 16)] and daemon.returncode == 0
@@ -133,14 +133,14 @@
         return made[0]
 
     def call(caller: Peer, uid: str, left: str = "3000") -> Peer:
-        meta = {"class": "slot-lookup", "left": left, "key": uid, "extras": FIGURES}
-        caller.say("launch", uid, meta=meta, body="v=0")
-        until(lambda: any(uid in one.seen for one in bookers))
-        return next(one for one in bookers if uid in one.seen)
+        meta = {"class": "slot-lookup", "left": left, "key": uid, "extras": EXTRAS}
+        caller.send("launch", uid, meta=meta, body="v=0")
+        until(lambda: any(uid in one.launches for one in bookers))
+        return next(one for one in bookers if uid in one.launches)
 
     old = start(path)
     caller = dial(old)
-    call(caller, ID).say("running", ID, body="x")
+    call(caller, ID).send("running", ID, body="x")
     until(lambda: caller.kinds(ID))
     old.send_signal(signal.SIGTERM)
     until(lambda: old.poll() is not None)
@@ -150,13 +150,13 @@
     new = start(path)
     try:
         caller = dial(new)
-        call(caller, ID2).say("running", ID2, body="x")  # so it is known to lead to the callers
+        call(caller, ID2).send("running", ID2, body="x")  # so it is known to lead to the callers
         until(lambda: caller.kinds(ID2))
         given_up = f"{7:016x}"
         teller = call(caller, given_up, left="400")
         until(lambda: caller.kinds(given_up))  # its final answer, as no booker gave one
-        teller.say("stop", given_up, reason=34)  # it crosses our giving up
-        teller.say("stop", ID, reason=16)
+        teller.send("stop", given_up, reason=34)  # it crosses our giving up
+        teller.send("stop", ID, reason=16)
         until(lambda: caller.kinds(ID))
         pause(0.1)
         assert caller.kinds(ID) == [("stop", 16)]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,7 @@
 from tests.loop import pause, reactor, until
 from tests.test_board import Board, boards
 from tests.test_daemon import one_booker
-from tests.test_platform import FIGURES, ID
+from tests.test_platform import EXTRAS, ID
 
 __all__ = ["boards"]
 ROOT = Path(__file__).parents[1]
@@ -82,7 +82,7 @@
         transport.write(b"served")
 
 
-class Rig:
+class BoundedPort:
     """A port within bounds, and how often the reactor has called it."""
 
     def __init__(self, most_open: int, monkeypatch: pytest.MonkeyPatch, retry_us: int) -> None:
@@ -111,7 +111,7 @@
         pause(0.02)
 
 
-def answered(sock: socket.socket) -> bool:
+def was_served(sock: socket.socket) -> bool:
     """Tell whether something can be read; it fails on a close without a word."""
     readable, _, _ = select.select([sock], [], [], 0)
     if readable:
@@ -120,18 +120,18 @@
 
 
 def test_a_full_port_leaves_the_rest_in_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = Rig(2, monkeypatch, retry_us=60_000_000)
+    rig = BoundedPort(2, monkeypatch, retry_us=60_000_000)
     clients = [socket.create_connection(rig.address) for _ in range(5)]
     until(lambda: rig.counters["accept.paused.full"])
     for client in clients[:2]:
-        until(lambda one=client: answered(one))  # type: ignore[misc]
+        until(lambda one=client: was_served(one))  # type: ignore[misc]
     before = rig.reads
     for _ in range(50):
         reactor.iterate(0.001)
     assert rig.reads == before and rig.port.held == 2
     for number, client in enumerate(clients[2:]):
         clients[number].close()
-        until(lambda one=client: answered(one))  # type: ignore[misc]
+        until(lambda one=client: was_served(one))  # type: ignore[misc]
     for client in clients:
         client.close()
     rig.close()
@@ -146,7 +146,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def exhaust(limit: list[int]) -> None:
+def exhaust_descriptors(limit: list[int]) -> None:
     """Let no further descriptor be opened in this process."""
     first_free = os.dup(0)
     os.close(first_free)
@@ -158,21 +158,21 @@
 def test_a_port_without_a_descriptor_closes_nobody_and_does_not_spin(
     monkeypatch: pytest.MonkeyPatch, no_descriptor: list[int]
 ) -> None:
-    rig = Rig(100, monkeypatch, retry_us=20_000)
+    rig = BoundedPort(100, monkeypatch, retry_us=20_000)
     client = socket.create_connection(rig.address)
-    exhaust(no_descriptor)
+    exhaust_descriptors(no_descriptor)
     until(lambda: rig.counters["accept.paused.exhausted"] >= 3)
     assert rig.reads == rig.counters["accept.paused.exhausted"]  # once for each look, no more
-    assert not answered(client) and not rig.protocols
+    assert not was_served(client) and not rig.protocols
     resource.setrlimit(resource.RLIMIT_NOFILE, (no_descriptor[0], no_descriptor[1]))
-    until(lambda: answered(client))
+    until(lambda: was_served(client))
     client.close()
     rig.close()
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPERM, errno.ENFILE, errno.ENOBUFS])
 def test_other_faults_of_accept_close_no_port(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
-    rig = Rig(100, monkeypatch, retry_us=1_000)
+    rig = BoundedPort(100, monkeypatch, retry_us=1_000)
     listening = rig.port.socket
     faults = [number]
 
@@ -187,7 +187,7 @@
 
     rig.port.socket = Failing()
     client = socket.create_connection(rig.address)
-    until(lambda: answered(client))
+    until(lambda: was_served(client))
     client.close()
     rig.close()
 
@@ -229,7 +229,7 @@
     raise AssertionError("it never listened")
 
 
-def ask(port: int, line: bytes) -> bytes:
+def query_admin(port: int, line: bytes) -> bytes:
     with socket.create_connection(("127.0.0.1", port), timeout=20) as wire:
         wire.sendall(line)
         return wire.makefile("rb").readline()
@@ -251,25 +251,25 @@
     try:
         address = ("127.0.0.1", listening_port(daemon, raw["name"].encode()))
         until(lambda: bookers)
-        boards[0].asked()
+        boards[0].requested()
         boards[0].ports[0].stopListening()  # discovery goes down
-        boards[0].desks[0].transport.abortConnection()
+        boards[0].peers[0].transport.abortConnection()
         daemon.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, daemon.pid, os.WSTOPPED)
         idle += [socket.create_connection(address) for _ in range(descriptors)]
         caller = socket.create_connection(address)
-        meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": FIGURES}
+        meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": EXTRAS}
         caller.sendall(
             json.dumps({"kind": "launch", "uid": ID, "meta": meta, "body": "v=0"}).encode() + b"\n"
         )
         daemon.send_signal(signal.SIGCONT)
-        until(lambda: any(ID in one.seen for one in bookers), 20)
-        next(one for one in bookers if ID in one.seen).say("running", ID, body="x")
+        until(lambda: any(ID in one.launches for one in bookers), 20)
+        next(one for one in bookers if ID in one.launches).send("running", ID, body="x")
         until(lambda: select.select([caller], [], [], 0)[0], 20)
         assert json.loads(caller.makefile("rb").readline())["kind"] == "running"
-        assert ask(admin, b"check\n") == b"+OK yes\n"
-        again = Board(int(boards[0].where.rpartition(":")[2]))
-        assert again.asked() == [b"watch 3"]  # discovery is back, and found a descriptor
+        assert query_admin(admin, b"check\n") == b"+OK yes\n"
+        again = Board(int(boards[0].address.rpartition(":")[2]))
+        assert again.requested() == [b"watch 3"]  # discovery is back, and found a descriptor
         again.close()
         used_s = cpu_s(daemon)
         pause(1.0)
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -33,12 +33,12 @@
 def world() -> Iterator[DownstreamWorld]:
     one = DownstreamWorld()
     yield one
-    one.end()
+    one.close()
 
 
 def test_one_that_waits_is_said_to_wait(world: DownstreamWorld) -> None:
-    client = world.client()
-    ref = world.waiting(client, ID)
+    client = world.connect_client()
+    ref = world.send_request(client, ID)
     assert world.front.still_waiting(ref) and world.front.still_waiting(ref)
     assert not world.front.still_waiting(ref + (1 << 24)), "a handle of nobody's"
 
@@ -49,13 +49,13 @@
     world: DownstreamWorld, leave: Callable[[RawClient], None], out: bool
 ) -> None:
     # A timer's turn comes before the sockets' where the loop was held up: the attempt began all the same.
-    client = world.client()
-    ref = world.waiting(client, ID)
-    connection = world.connection(client)
+    client = world.connect_client()
+    ref = world.send_request(client, ID)
+    connection = world.connection_of(client)
     if out:
-        world.decide(api.Send(ID, "s0", 0))
+        world.act(api.Send(ID, "s0", 0))
     leave(client)
-    world.arrived(connection)
+    world.wait_for_input(connection)
     assert not world.front.still_waiting(ref)
     assert not world.core.calls and world.back.given_up == ([ID] if out else [])
     assert api.Withdrawn(ID) in world.module.events
@@ -67,15 +67,15 @@
     world: DownstreamWorld, end: Callable[[RawClient], None], paused: bool
 ) -> None:
     # Its answers fill the buffers; the transport may even have stopped reading.
-    client = world.client()
-    ref = world.waiting(client, ID)
-    connection = world.connection(client)
+    client = world.connect_client()
+    ref = world.send_request(client, ID)
+    connection = world.connection_of(client)
     while not connection.transport.producerPaused:
         connection.send({"kind": "staging", "uid": ID, "meta": {}, "body": "x" * 8_000})
     if paused:
         connection.transport.pauseProducing()
     end(client)
-    world.arrived(connection)
+    world.wait_for_input(connection)
     assert not world.front.still_waiting(ref) and not world.core.calls
     if end is not RawClient.half_close:
         world.until(lambda: not world.front.connections)
@@ -89,26 +89,26 @@
     world.module.script = lambda event: (
         [api.Send(event.call, "s0", 0)] if isinstance(event, api.NewCall) else []
     )
-    client = world.client()
-    connection = world.connection(client)
+    client = world.connect_client()
+    connection = world.connection_of(client)
     client.send(request(ID))
     leave(client)
-    world.arrived(connection)
+    world.wait_for_input(connection)
     known = world.counters["client.messages_in"]
     world.until(lambda: world.counters["client.messages_in"] > known or not connection.is_open)
     if leave is LEAVES["cancel"]:
         client.sync()
-        assert not client.told(ID)  # none is owed
-    assert not world.back.attempts and not world.module.calls()
+        assert not client.messages_about(ID)  # none is owed
+    assert not world.back.attempts and not world.module.offered_calls()
     if leave is RawClient.half_close:
-        world.until(lambda: client.told(ID) and client.ended)
-        assert client.told(ID) == [("stop", 34)] and client.ended == "end"
+        world.until(lambda: client.messages_about(ID) and client.ended)
+        assert client.messages_about(ID) == [("stop", 34)] and client.ended == "end"
 
 
 def test_of_requests_cancelled_together_none_is_sent_on_as_another_ends(world: DownstreamWorld) -> None:
     # The module frees what the first one held for the second, whose cancel is the next line of the read.
-    client = world.client()
-    refs = {uid: world.waiting(client, uid) for uid in (ID, ID2, ID3)}
+    client = world.connect_client()
+    refs = {uid: world.send_request(client, uid) for uid in (ID, ID2, ID3)}
     asked: list[bool] = []
 
     def freed(event: api.Event) -> list[api.Action]:
@@ -126,8 +126,8 @@
 def test_of_requests_whose_client_ends_none_is_sent_on_as_another_ends(
     world: DownstreamWorld, end: Callable[[RawClient], None]
 ) -> None:
-    client = world.client()
-    refs = {uid: world.waiting(client, uid) for uid in (ID, ID2, ID3)}
+    client = world.connect_client()
+    refs = {uid: world.send_request(client, uid) for uid in (ID, ID2, ID3)}
     asked: list[bool] = []
 
     def freed(event: api.Event) -> list[api.Action]:
@@ -143,12 +143,12 @@
 
 def test_a_burst_is_looked_at_again_while_it_is_being_offered(world: DownstreamWorld) -> None:
     # The decisions on hundreds of requests take a while, in which the last of them may be cancelled.
-    client = world.client()
+    client = world.connect_client()
 
     def slow(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.NewCall) and event.call == ID:
             client.send(cancel(ID3))
-            world.arrived(world.connection(client))
+            world.wait_for_input(world.connection_of(client))
             world.clock.time_us += world.limits.client_look_us
         return [api.Send(event.call, "s0", 0)] if isinstance(event, api.NewCall) else []
 
@@ -162,12 +162,12 @@
     world: DownstreamWorld,
 ) -> None:
     # The core has no name for the request yet by which the front could withdraw it.
-    client = world.client()
+    client = world.connect_client()
 
     def left(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.NewCall):
             client.send(cancel(ID))
-            world.arrived(world.connection(client))
+            world.wait_for_input(world.connection_of(client))
             world.clock.time_us += world.limits.client_look_us
             found = world.front.requests.find(ID)
             assert found and not world.front.still_waiting(found.ref)
@@ -182,57 +182,61 @@
 def test_who_half_closes_gets_every_answer(world: DownstreamWorld) -> None:
     # It may have closed for good: nothing more is sent on, and what is out is given up. It may also read on:
     # a request that was read and then closed with no answer is lost.
-    client = world.client()
-    world.waiting(client, ID)
-    world.decide(api.Send(ID, "s0", 0))
-    world.waiting(client, ID2)
+    client = world.connect_client()
+    world.send_request(client, ID)
+    world.act(api.Send(ID, "s0", 0))
+    world.send_request(client, ID2)
     client.send(request(ID3))
     client.half_close()
     world.until(client.read)
-    assert [client.told(uid) for uid in (ID, ID2, ID3)] == [[("stop", 41)], [("stop", 41)], [("stop", 34)]]
+    assert [client.messages_about(uid) for uid in (ID, ID2, ID3)] == [
+        [("stop", 41)],
+        [("stop", 41)],
+        [("stop", 34)],
+    ]
     assert client.ended == "end" and world.back.given_up == [ID] and len(world.back.attempts) == 1
 
 
 def test_who_half_closes_with_nothing_open_reads_its_last_answer(world: DownstreamWorld) -> None:
-    client = world.client()
-    world.waiting(client, ID)
-    world.stands(ID)
+    client = world.connect_client()
+    world.send_request(client, ID)
+    world.accept_call(ID)
     client.half_close()
     world.until(client.read)
-    assert client.told(ID) == [("running", None)] and client.ended == "end"
+    assert client.messages_about(ID) == [("running", None)] and client.ended == "end"
     assert not world.back.released, "a call that stands belongs to no connection"
 
 
 def test_a_cancel_that_crosses_the_answer_releases_the_call_once(world: DownstreamWorld) -> None:
-    client = world.client()
-    world.waiting(client, ID)
-    world.decide(api.Send(ID, "s0", 0))
+    client = world.connect_client()
+    world.send_request(client, ID)
+    world.act(api.Send(ID, "s0", 0))
     client.send(cancel(ID) + cancel(ID))
-    world.arrived(world.connection(client))
+    world.wait_for_input(world.connection_of(client))
     assert world.core.stood(world.back.attempts[0], "v=1")
     client.sync()
-    assert client.told(ID) == [("running", None), ("stop", 16)] and world.back.released == [ID]
+    assert client.messages_about(ID) == [("running", None), ("stop", 16)] and world.back.released == [ID]
 
 
 # The same id again.
 
 
 def cancelled_while_out(world: DownstreamWorld, client: RawClient) -> None:
-    world.decide(api.Send(ID, "s0", 0))
+    world.act(api.Send(ID, "s0", 0))
     client.send(cancel(ID))
 
 
-def over(world: DownstreamWorld, client: RawClient) -> None:
-    world.stands(ID)
+def released_call(world: DownstreamWorld, client: RawClient) -> None:
+    world.accept_call(ID)
     client.send(cancel(ID))
 
 
 AGAIN: dict[str, tuple[Callable[[DownstreamWorld, RawClient], None], list[tuple[str, int | None]]]] = {
-    "refused": (lambda world, _: world.decide(api.Refuse(ID)), [("stop", 34)]),
-    "failed": (lambda world, _: world.decide(api.Fail(ID)), [("stop", 41)]),
+    "refused": (lambda world, _: world.act(api.Refuse(ID)), [("stop", 34)]),
+    "failed": (lambda world, _: world.act(api.Fail(ID)), [("stop", 41)]),
     "cancelled": (lambda _, client: client.send(cancel(ID)), []),
     "cancelled while out": (cancelled_while_out, []),
-    "over": (over, [("running", None), ("stop", 16)]),
+    "over": (released_call, [("running", None), ("stop", 16)]),
 }
 
 
@@ -246,32 +250,35 @@
 ) -> None:
     # A late answer or release of the first one could not be told from the second's, and the pause after an
     # attempt in doubt would not be kept: to the server it is the same request.
-    client = world.client()
-    world.waiting(client, ID)
+    client = world.connect_client()
+    world.send_request(client, ID)
     finish(world, client)
     client.sync()
-    assert client.told(ID) == told
-    second = world.client() if elsewhere else client
+    assert client.messages_about(ID) == told
+    second = world.connect_client() if elsewhere else client
     sent = len(world.back.attempts)
     second.send(request(ID))
     second.sync()
-    assert second.told(ID) == ([] if elsewhere else told) + [("stop", 41)]
+    assert second.messages_about(ID) == ([] if elsewhere else told) + [("stop", 41)]
     world.front.inherited_call_released(
         ID, 16
     )  # a release of the first one that its server sends late, or again
     second.sync()
-    assert second.told(ID)[-1] == ("stop", 41) and world.module.calls() == [ID]
+    assert second.messages_about(ID)[-1] == ("stop", 41) and world.module.offered_calls() == [ID]
     assert len(world.back.attempts) == sent
     world.clock.time_us += world.front.recent_ids.retention_us
     second.send(request(ID))
-    world.until(lambda: world.module.calls() == [ID, ID])
+    world.until(lambda: world.module.offered_calls() == [ID, ID])
 
 
 def test_an_id_that_came_twice_in_one_read_has_one_answer(world: DownstreamWorld) -> None:
-    client = world.client()
+    client = world.connect_client()
     client.send(request(ID) + request(ID, key="another") + request(ID2))
     world.until(client.read)
-    assert client.told(ID) == client.told(ID2) == [("stop", 34)] and not world.module.calls()
+    assert (
+        client.messages_about(ID) == client.messages_about(ID2) == [("stop", 34)]
+        and not world.module.offered_calls()
+    )
 
 
 def test_recent_ids_are_bounded_in_time_and_number() -> None:
@@ -283,4 +290,4 @@
     assert recent.contains(ID2, recent.retention_us) and not recent.contains(ID2, recent.retention_us + 1)
     recent.add(ID, 10 * recent.retention_us)
     assert len(recent) == 1
-    world.end()
+    world.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -34,8 +34,8 @@
     booker_lost_us=200_000,
     booker_overtaken_us=30_000,
 )
-COUNT = count()
-FIGURES = "dest:0;width:1;via:-1"
+LAUNCH_NUMBERS = count()
+EXTRAS = "dest:0;width:1;via:-1"
 
 
 class Peer(LineOnlyReceiver):
@@ -46,7 +46,7 @@
 
     def __init__(self) -> None:
         self.got: list[dict[str, Any]] = []
-        self.seen: dict[str, int] = {}  # set-ups, in the order in which all peers got theirs
+        self.launches: dict[str, int] = {}  # set-ups, in the order in which all peers got theirs
         self.lost = False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -56,9 +56,9 @@
         message = json.loads(line)
         self.got.append(message)
         if message["kind"] == "launch":
-            self.seen.setdefault(message["uid"], next(COUNT))
+            self.launches.setdefault(message["uid"], next(LAUNCH_NUMBERS))
 
-    def say(self, kind: str, uid: str, **more: Any) -> None:
+    def send(self, kind: str, uid: str, **more: Any) -> None:
         self.sendLine(json.dumps({"kind": kind, "uid": uid, "meta": {}, **more}).encode())
 
     def kinds(self, uid: str) -> list[tuple[str, Any]]:
@@ -84,10 +84,10 @@
         at = self.ports[0].getHost().port
         self.core.listed(ListKind.CACHED, [SwitchEntry("s0", 0, SwitchState.READY)])
         self.back.update_endpoints([BookerEndpoint("s0", "127.0.0.1", at, SwitchState.READY, 0)], True)
-        self.caller = self.dial()
+        self.client = self.connect()
         until(lambda: self.bookers)
 
-    def dial(self) -> Peer:
+    def connect(self) -> Peer:
         """Connect one more caller."""
         made: list[Peer] = []
         port = self.ports[1].getHost().port
@@ -95,23 +95,23 @@
         until(lambda: made)
         return made[0]
 
-    def ask(self, caller: Peer, uid: str, body: str = "v=0\r\n", **odd: Any) -> None:
+    def request(self, client: Peer, uid: str, body: str = "v=0\r\n", **odd: Any) -> None:
         """Send a set-up, with some fields other than they should be."""
-        meta = {"class": "low", "left": "3000", "key": "n", "extras": FIGURES} | odd
-        caller.say("launch", uid, meta=meta, body=body)
+        meta = {"class": "low", "left": "3000", "key": "n", "extras": EXTRAS} | odd
+        client.send("launch", uid, meta=meta, body=body)
 
-    def launch(self, uid: str) -> Peer:
+    def set_up(self, uid: str) -> Peer:
         """Send a set-up and return the booker's end of the connection that it came on."""
-        self.ask(self.caller, uid)
-        until(lambda: self.at(uid))
-        return self.at(uid)[-1]
+        self.request(self.client, uid)
+        until(lambda: self.peers(uid))
+        return self.peers(uid)[-1]
 
-    def at(self, uid: str) -> list[Peer]:
+    def peers(self, uid: str) -> list[Peer]:
         """Return the bookers' connections that a set-up came on, in that order."""
-        found = [(one.seen[uid], one) for one in self.bookers if uid in one.seen]
+        found = [(one.launches[uid], one) for one in self.bookers if uid in one.launches]
         return [one for _, one in sorted(found, key=lambda pair: pair[0])]
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close everything."""
         self.front.close_all()
         self.back.close_all()
@@ -124,18 +124,18 @@
 def stage() -> Iterator[Stage]:
     one = Stage()
     yield one
-    one.end()
+    one.close()
 
 
 @pytest.mark.parametrize(("cause", "told"), [(16, 16), (41, 41)])
 def test_a_call_stands_and_its_release_is_relayed(stage: Stage, cause: int, told: int) -> None:
-    booker = stage.launch(ID)
+    booker = stage.set_up(ID)
     assert booker.got[0]["body"] == "v=0\r\n" and 0 < int(booker.got[0]["meta"]["left"]) <= 1500
-    booker.say("running", ID, body="v=1\r\n")
-    booker.say("stop", ID, reason=cause)
-    until(lambda: len(stage.caller.kinds(ID)) == 2)
-    assert stage.caller.kinds(ID) == [("running", None), ("stop", told)]
-    assert stage.caller.got[0]["body"] == "v=1\r\n" and len(stage.core.calls) == 0
+    booker.send("running", ID, body="v=1\r\n")
+    booker.send("stop", ID, reason=cause)
+    until(lambda: len(stage.client.kinds(ID)) == 2)
+    assert stage.client.kinds(ID) == [("running", None), ("stop", told)]
+    assert stage.client.got[0]["body"] == "v=1\r\n" and len(stage.core.calls) == 0
 
 
 @pytest.mark.parametrize(("gateways", "most"), [(1, 12), (8, 12), (40, 2), (96, 1), (200, 1)])
@@ -144,30 +144,30 @@
     crowded = Stage(LIMITS.shared_by(gateways))
     uids = [f"{number:016x}" for number in range(30)]
     for uid in uids:
-        crowded.launch(uid)
+        crowded.set_up(uid)
     pause(0.05)
     assert len(crowded.bookers) == most
-    assert [len(crowded.at(uid)) for uid in uids] == [1] * 30  # they share what there is
-    crowded.end()
+    assert [len(crowded.peers(uid)) for uid in uids] == [1] * 30  # they share what there is
+    crowded.close()
 
 
-NONSENSE = [b"{nonsense\n", b"[1]\n", b"{" + b"x" * 40_000, b'{"kind":"stop","meta":7}\n', b"\xff\xfe\n"]
+BAD_LINES = [b"{nonsense\n", b"[1]\n", b"{" + b"x" * 40_000, b'{"kind":"stop","meta":7}\n', b"\xff\xfe\n"]
 NO_ID = [b'{"kind":"launch","meta":{}}\n', b'{"kind":"launch","uid":7}\n', b'{"kind":"odd","uid":"x"}\n']
 
 
-@pytest.mark.parametrize("noise", [*NONSENSE, *NO_ID, b'{"kind":"launch","uid":"9b1f', b""])
+@pytest.mark.parametrize("noise", [*BAD_LINES, *NO_ID, b'{"kind":"launch","uid":"9b1f', b""])
 def test_a_caller_that_can_not_be_answered_is_closed_on(stage: Stage, noise: bytes) -> None:
     # It is owed an answer, an error or a close; and an endless line must not be read to its end.
-    booker = stage.launch(ID)
-    other = stage.dial()
+    booker = stage.set_up(ID)
+    other = stage.connect()
     other.transport.write(noise)
     until(lambda: other.lost)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID))
-    assert stage.caller.kinds(ID) == [("running", None)]
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID))
+    assert stage.client.kinds(ID) == [("running", None)]
 
 
-ODD: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"class": "none"}, {"class": 3}, {"left": "-5"}, {"left": "nan"}, {"left": "1e12"}, {"left": "soon"},
     {"left": None}, {"key": 5}, {"key": "5" * 1000}, {"extras": "dest:0;width:-1"},
     {"extras": "dest:0;width:1e9"}, {"extras": "dest:-7;width:1"}, {"extras": "dest:x;width:1"},
@@ -175,195 +175,195 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("odd", ODD, ids=str)
+@pytest.mark.parametrize("odd", INVALID_FIELDS, ids=str)
 def test_figures_that_make_no_sense_are_answered_and_never_sent_on(stage: Stage, odd: dict[str, Any]) -> None:
     # A booker is not told the figures: it would answer, and nonsense would be served.
-    stage.ask(stage.caller, ID, **odd)
-    until(lambda: stage.caller.got)
-    assert stage.caller.kinds(ID) == [("stop", 41)] and not stage.core.calls and not stage.at(ID)
-    stage.launch(ID2)  # the connection is as good as before
+    stage.request(stage.client, ID, **odd)
+    until(lambda: stage.client.got)
+    assert stage.client.kinds(ID) == [("stop", 41)] and not stage.core.calls and not stage.peers(ID)
+    stage.set_up(ID2)  # the connection is as good as before
 
 
 def test_an_open_calls_id_that_comes_again_does_not_end_the_call(stage: Stage) -> None:
     # On its connection an answer could not be told from the open call's; elsewhere a close says enough.
-    booker = stage.launch(ID)
-    other = stage.dial()
-    stage.ask(other, ID, body="another")
+    booker = stage.set_up(ID)
+    other = stage.connect()
+    stage.request(other, ID, body="another")
     until(lambda: other.lost)
-    stage.ask(stage.caller, ID, body="another")
-    stage.caller.say("check", "t", reason=0)
-    until(lambda: stage.caller.kinds("t"))
-    assert not stage.caller.kinds(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.lost)
-    assert stage.caller.kinds(ID) == [("running", None)] and not other.got
-    assert [one.kinds(ID) for one in stage.at(ID)] == [[("launch", None)]]
+    stage.request(stage.client, ID, body="another")
+    stage.client.send("check", "t", reason=0)
+    until(lambda: stage.client.kinds("t"))
+    assert not stage.client.kinds(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.lost)
+    assert stage.client.kinds(ID) == [("running", None)] and not other.got
+    assert [one.kinds(ID) for one in stage.peers(ID)] == [[("launch", None)]]
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["who say nothing", "who asked once and hold on"])
 def test_callers_who_fill_the_limit_lock_nobody_out(stage: Stage, asks: bool) -> None:
     # Yet a connection on which a set-up is open must never make room.
-    stage.launch(ID)
-    idle = [stage.dial() for _ in range(LIMITS.client_connections - 1)]
+    stage.set_up(ID)
+    idle = [stage.connect() for _ in range(LIMITS.client_connections - 1)]
     for number, one in enumerate(idle if asks else ()):
-        stage.ask(one, f"{number:016x}", left="0")
+        stage.request(one, f"{number:016x}", left="0")
         until(partial(one.got.__getitem__, slice(None)))
-    stage.caller = stage.dial()
-    stage.launch(ID2)
+    stage.client = stage.connect()
+    stage.set_up(ID2)
     until(lambda: idle[0].lost)
     assert not any(one.lost for one in idle[1:])
-    assert stage.at(ID)[0].kinds(ID) == [("launch", None)]  # not given up
+    assert stage.peers(ID)[0].kinds(ID) == [("launch", None)]  # not given up
 
 
 def test_a_connection_just_made_is_not_the_first_to_make_room(stage: Stage) -> None:
     # Its set-up is on its way, while one that asked and holds on may be there for good.
-    holder = stage.dial()
-    stage.ask(holder, ID2, left="0")
+    holder = stage.connect()
+    stage.request(holder, ID2, left="0")
     until(lambda: holder.got)
-    stage.ask(stage.caller, ID)
-    young = [stage.dial() for _ in range(LIMITS.client_connections - 1)]
+    stage.request(stage.client, ID)
+    young = [stage.connect() for _ in range(LIMITS.client_connections - 1)]
     until(lambda: holder.lost)
     assert not any(one.lost for one in young)
 
 
 def test_who_holds_a_connection_after_a_call_is_no_silent_one(stage: Stage) -> None:
-    stage.launch(ID).say("running", ID, body="x")
-    silent = stage.dial()
+    stage.set_up(ID).send("running", ID, body="x")
+    silent = stage.connect()
     until(lambda: silent.lost)
     pause(0.1)
-    assert not stage.caller.lost
+    assert not stage.client.lost
 
 
 def test_nobody_ends_another_callers_set_up(stage: Stage) -> None:
-    booker = stage.launch(ID)
-    other = stage.dial()
-    other.say("stop", ID, reason=16)
-    other.say("check", "t", reason=0)
+    booker = stage.set_up(ID)
+    other = stage.connect()
+    other.send("stop", ID, reason=16)
+    other.send("check", "t", reason=0)
     until(lambda: other.kinds("t"))
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID))
-    other.say("stop", ID, reason=16)  # but a call that stands belongs to no connection
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID))
+    other.send("stop", ID, reason=16)  # but a call that stands belongs to no connection
     until(lambda: booker.kinds(ID)[1:] == [("stop", 16)])
     # It may be a set-up given up as our answer crossed it: the call stood, and its end is told.
-    until(lambda: stage.caller.kinds(ID) == [("running", None), ("stop", 16)])
+    until(lambda: stage.client.kinds(ID) == [("running", None), ("stop", 16)])
 
 
 @pytest.mark.parametrize("first", [True, False], ids=["another is served", "the next is served"])
 def test_a_release_whose_connection_has_gone_goes_to_one_that_was_served(stage: Stage, first: bool) -> None:
     # The others may all be bad clients', and what they are told never reaches the caller.
-    stage.ask(stage.dial(), "00000000000000b1")
+    stage.request(stage.connect(), "00000000000000b1")
     if first:
-        stage.launch(ID2).say("running", ID2, body="x")
-        until(lambda: stage.caller.got)
-    gone = stage.dial()
-    stage.ask(gone, ID)
-    until(lambda: stage.at(ID))
-    stage.at(ID)[0].say("running", ID, body="x")
+        stage.set_up(ID2).send("running", ID2, body="x")
+        until(lambda: stage.client.got)
+    gone = stage.connect()
+    stage.request(gone, ID)
+    until(lambda: stage.peers(ID))
+    stage.peers(ID)[0].send("running", ID, body="x")
     until(lambda: gone.got)
     gone.transport.abortConnection()
-    stage.dial().say("check", "t", reason=0)
+    stage.connect().send("check", "t", reason=0)
     until(lambda: len(stage.front.connections) == 3)
-    stage.at(ID)[0].say("stop", ID, reason=16)
+    stage.peers(ID)[0].send("stop", ID, reason=16)
     if not first:
-        stage.launch(ID2).say("running", ID2, body="x")
-    until(lambda: stage.caller.kinds(ID))
-    assert stage.caller.kinds(ID) == [("stop", 16)]
+        stage.set_up(ID2).send("running", ID2, body="x")
+    until(lambda: stage.client.kinds(ID))
+    assert stage.client.kinds(ID) == [("stop", 16)]
 
 
 # Bookers.
 
 
 @pytest.mark.parametrize(
-    "noise", [*NONSENSE, f'{{"kind":"running","uid":"{ID}","body":7}}\n'.encode()], ids=lambda n: n[:12]
+    "noise", [*BAD_LINES, f'{{"kind":"running","uid":"{ID}","body":7}}\n'.encode()], ids=lambda n: n[:12]
 )
 def test_a_booker_that_can_not_be_read_loses_its_connection_and_no_time(stage: Stage, noise: bytes) -> None:
     # The connection is of no further use: what was open on it would wait out its time for nothing.
-    booker = stage.launch(ID)
+    booker = stage.set_up(ID)
     booker.transport.write(noise)
-    until(lambda: booker.lost and len(stage.at(ID)) == 2)
+    until(lambda: booker.lost and len(stage.peers(ID)) == 2)
     assert stage.counters["outcomes.cut"] == 1
-    stage.at(ID)[1].say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID))
-    assert stage.caller.kinds(ID) == [("running", None)]
+    stage.peers(ID)[1].send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID))
+    assert stage.client.kinds(ID) == [("running", None)]
 
 
 def test_a_lost_connection_takes_one_set_up_along(stage: Stage) -> None:
     # Set-ups that share a connection are spoilt together.
-    first = stage.launch(ID)
-    second = stage.launch(ID2)
+    first = stage.set_up(ID)
+    second = stage.set_up(ID2)
     first.transport.abortConnection()
-    second.say("running", ID2, body="x")
-    until(lambda: stage.caller.kinds(ID2) and len(stage.at(ID)) == 2)
-    assert len(stage.at(ID2)) == 1
+    second.send("running", ID2, body="x")
+    until(lambda: stage.client.kinds(ID2) and len(stage.peers(ID)) == 2)
+    assert len(stage.peers(ID2)) == 1
 
 
 def test_a_release_that_went_down_with_its_connection_comes_on_the_next_one(stage: Stage) -> None:
     # A booker sends it again on the next connection that is opened: with others left, none was.
-    booker = stage.launch(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.got and len(stage.bookers) == 2)
+    booker = stage.set_up(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.got and len(stage.bookers) == 2)
     pause(0.02)
     booker.transport.abortConnection()
     until(lambda: len(stage.bookers) == 3)
-    stage.bookers[2].say("stop", ID, reason=16)
-    until(lambda: stage.caller.kinds(ID)[1:] == [("stop", 16)])
+    stage.bookers[2].send("stop", ID, reason=16)
+    until(lambda: stage.client.kinds(ID)[1:] == [("stop", 16)])
 
 
 def test_a_connection_that_is_passed_over_is_dropped(stage: Stage) -> None:
     # A booker answers in turn: the answer to a set-up that a much later one has overtaken will not come.
-    first = stage.launch(ID)
+    first = stage.set_up(ID)
     pause(0.05)
-    stage.launch(ID2).say("running", ID2, body="x")
-    until(lambda: first.lost and len(stage.at(ID)) == 2)
+    stage.set_up(ID2).send("running", ID2, body="x")
+    until(lambda: first.lost and len(stage.peers(ID)) == 2)
     assert stage.counters["booker.set_aside.overtaken"] == 1
     assert first.kinds(ID) == [("launch", None), ("stop", 16)]
 
 
 def test_a_connection_set_aside_as_silent_still_brings_releases(stage: Stage) -> None:
     # It was reset after 25 ms of silence with a release on its way, whose call then stood for ever.
-    booker = stage.launch(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.got)
-    stage.ask(stage.caller, ID2, left="400")
+    booker = stage.set_up(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.got)
+    stage.request(stage.client, ID2, left="400")
     until(lambda: stage.counters["booker.set_aside.silent"] == 1)
-    assert stage.at(ID2) == [booker] and not booker.lost
-    booker.say("stop", ID, reason=16)
-    until(lambda: stage.caller.kinds(ID)[1:] == [("stop", 16)])
+    assert stage.peers(ID2) == [booker] and not booker.lost
+    booker.send("stop", ID, reason=16)
+    until(lambda: stage.client.kinds(ID)[1:] == [("stop", 16)])
     until(lambda: booker.lost)
 
 
-UNREADABLE = [one for one in NONSENSE if len(one) < 1_000]
+SHORT_BAD_LINES = [one for one in BAD_LINES if len(one) < 1_000]
 
 
-@pytest.mark.parametrize("noise", UNREADABLE, ids=lambda one: one[:12])
+@pytest.mark.parametrize("noise", SHORT_BAD_LINES, ids=lambda one: one[:12])
 def test_a_release_behind_a_line_that_can_not_be_read_is_heard(stage: Stage, noise: bytes) -> None:
     # The connection was reset with the release unread: its call stood for ever, and its caller never heard.
-    booker = stage.launch(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.got)
+    booker = stage.set_up(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.got)
     booker.transport.write(noise)
-    booker.say("stop", ID, reason=16)
-    until(lambda: stage.caller.kinds(ID)[1:] == [("stop", 16)])
+    booker.send("stop", ID, reason=16)
+    until(lambda: stage.client.kinds(ID)[1:] == [("stop", 16)])
     until(lambda: booker.lost)
 
 
 def test_a_release_on_its_way_when_a_connection_set_aside_is_closed_is_heard(stage: Stage) -> None:
-    booker = stage.launch(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.got)
+    booker = stage.set_up(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.got)
     used = list(stage.back.pools["s0"].connections)
-    stage.ask(stage.caller, ID2, left="400")
+    stage.request(stage.client, ID2, left="400")
     until(lambda: stage.counters["booker.set_aside.silent"] == 1)
     (aside,) = (one.transport for one in used if one not in stage.back.pools["s0"].connections)
     aside.stopReading()  # what comes now lies unread until our side is closed, as in a busy moment
-    booker.say("stop", ID, reason=16)
+    booker.send("stop", ID, reason=16)
     until(lambda: stage.counters["booker.parted.silent"] == 1)
     aside.startReading()
-    until(lambda: stage.caller.kinds(ID)[1:] == [("stop", 16)])
+    until(lambda: stage.client.kinds(ID)[1:] == [("stop", 16)])
     until(lambda: booker.lost)
 
 
-def answering(peer: Peer, act: Any) -> None:
+def on_heartbeat(peer: Peer, act: Any) -> None:
     """Let a booker's end do something when a test comes."""
     usual = peer.lineReceived
 
@@ -377,32 +377,32 @@
 
 def test_a_connection_whose_reset_did_not_come_is_tested_beside_one_that_is_heard(stage: Stage) -> None:
     # Tests were passed on the other one, so that the booker seemed alive for as long as the list named it.
-    dead = stage.launch(ID)
-    dead.say("running", ID, body="x")
-    until(lambda: stage.caller.got and len(stage.bookers) == 2)
+    dead = stage.set_up(ID)
+    dead.send("running", ID, body="x")
+    until(lambda: stage.client.got and len(stage.bookers) == 2)
     (other,) = (one for one in stage.bookers if one is not dead)
-    answering(dead, dead.transport.abortConnection)  # what a machine answers whose process has ended
-    answering(other, lambda: other.say("checked", "0" * 16, reason=1))
+    on_heartbeat(dead, dead.transport.abortConnection)  # what a machine answers whose process has ended
+    on_heartbeat(other, lambda: other.send("checked", "0" * 16, reason=1))
     end = time.monotonic() + 20
     while not dead.lost:
         assert time.monotonic() < end, "it was never tested"
-        other.say("usage", "0" * 16)
+        other.send("usage", "0" * 16)
         pause(0.1)
 
 
 def test_a_refused_connection_has_the_others_tested_at_once(stage: Stage) -> None:
-    first = stage.launch(ID)
-    first.say("running", ID, body="x")
-    until(lambda: stage.caller.got and len(stage.bookers) == 2)
+    first = stage.set_up(ID)
+    first.send("running", ID, body="x")
+    until(lambda: stage.client.got and len(stage.bookers) == 2)
     (second,) = (one for one in stage.bookers if one is not first)
-    answering(second, second.transport.abortConnection)
+    on_heartbeat(second, second.transport.abortConnection)
     stage.ports[0].stopListening()  # the process has ended, and only one reset comes through
     pause(0.02)
     first.transport.abortConnection()
     end = time.monotonic() + 10
-    while stage.caller.kinds(ID)[1:] != [("stop", 41)]:
+    while stage.client.kinds(ID)[1:] != [("stop", 41)]:
         assert time.monotonic() < end, "the caller was never told"
-        second.say("usage", "0" * 16)  # it is heard: only the refusal makes it suspect
+        second.send("usage", "0" * 16)  # it is heard: only the refusal makes it suspect
         pause(0.1)
 
 
@@ -410,14 +410,14 @@
 def test_the_state_of_the_lines_is_heard_on_whichever_connection_it_comes(stage: Stage, teller: int) -> None:
     # A booker tells it on some of its connections, and no other report may come at all: heard on the first
     # alone, the lines told last were used up one by one, and then every call was refused beside idle lines.
-    stage.launch(ID)
+    stage.set_up(ID)
     until(lambda: len(stage.bookers) == 2)
     told: list[Any] = []
     stage.core.reported = lambda booker, report: told.append((booker, report.free_lines))  # type: ignore[method-assign]
-    stage.bookers[teller].say("usage", "0" * 16, meta={"load": "free:0;size:9"})
+    stage.bookers[teller].send("usage", "0" * 16, meta={"load": "free:0;size:9"})
     until(lambda: told)
     for booker in stage.bookers:
-        booker.say("usage", "0" * 16, meta={"load": "free:7;size:9"})
+        booker.send("usage", "0" * 16, meta={"load": "free:7;size:9"})
     until(lambda: told[-1:] == [("s0", 7.0)])
     pause(0.05)
     assert told == [("s0", 0.0), ("s0", 7.0)]  # on two connections at once it is one report
@@ -452,14 +452,14 @@
     asked = [(one["kind"], one["reason"]) for one in booker.got]
     assert asked == [("check", 1)], "one probe out a booker"
     for meta in answers:
-        booker.say("checked", booker.got[0]["uid"], meta=meta, reason=1)
+        booker.send("checked", booker.got[0]["uid"], meta=meta, reason=1)
     until(lambda: stage.counters[counted])
     pause(0.05)
     assert got == told
     stage.core.act(probe)
     until(lambda: len(booker.got) == 2)  # and then the next may go
     stage.core.listed(ListKind.CHANGES, [SwitchEntry("s0", 0, SwitchState.DRAINING)])
-    booker.say("checked", booker.got[1]["uid"], meta=REPORT, reason=1)
+    booker.send("checked", booker.got[1]["uid"], meta=REPORT, reason=1)
     until(lambda: len(got) == len(told) + 1)
     stage.core.act(probe)
     pause(0.05)
@@ -472,7 +472,7 @@
     stage.core.settings = replace(SETTINGS, may_probe=True)
     stage.core.act(api.Probe("s0"))
     until(lambda: stage.bookers[0].got)
-    stage.bookers[0].say("usage", "0" * 16, meta={"load": "free:3;size:9"})
+    stage.bookers[0].send("usage", "0" * 16, meta={"load": "free:3;size:9"})
     until(lambda: stage.counters["booker.probes_lost"])
     assert not got
 
@@ -496,7 +496,7 @@
 
 
 def test_one_that_goes_on_with_nonsense_is_read_no_further(stage: Stage) -> None:
-    booker = stage.launch(ID)
+    booker = stage.set_up(ID)
     booker.transport.write(b"{nonsense\n")
     until(lambda: stage.counters["booker.parted.bad_line"] == 1)
     for _ in range(40):
@@ -505,11 +505,11 @@
 
 
 def test_a_short_silence_is_no_reason_to_leave_a_connection(stage: Stage) -> None:
-    booker = stage.launch(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.got)
-    stage.ask(stage.caller, ID2, left="80")  # less than its margin of 60 ms and the 30 ms of a silence
-    until(lambda: stage.caller.kinds(ID2))
+    booker = stage.set_up(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.got)
+    stage.request(stage.client, ID2, left="80")  # less than its margin of 60 ms and the 30 ms of a silence
+    until(lambda: stage.client.kinds(ID2))
     assert not stage.counters["booker.set_aside.silent"]
 
 
@@ -524,63 +524,63 @@
 
 
 def test_second_copies_and_unknown_ids_harm_nobody(stage: Stage) -> None:
-    booker = stage.launch(ID)
+    booker = stage.set_up(ID)
     for uid in (ID2, ID, ID):
-        booker.say("running", uid, body="x")
-    booker.say("stop", ID2, reason=41)
+        booker.send("running", uid, body="x")
+    booker.send("stop", ID2, reason=41)
     other = next(one for one in stage.bookers if one is not booker)
-    stage.launch(ID2)
-    other.say("running", ID2, body="not its own") if other not in stage.at(ID2) else None
-    stage.at(ID2)[0].say("running", ID2, body="x")
-    until(lambda: stage.caller.kinds(ID2))
-    assert [m["body"] for m in stage.caller.got] == ["x", "x"] and not booker.lost
+    stage.set_up(ID2)
+    other.send("running", ID2, body="not its own") if other not in stage.peers(ID2) else None
+    stage.peers(ID2)[0].send("running", ID2, body="x")
+    until(lambda: stage.client.kinds(ID2))
+    assert [m["body"] for m in stage.client.got] == ["x", "x"] and not booker.lost
 
 
 @pytest.mark.parametrize("stands", [True, False])
 def test_a_booker_that_says_a_call_was_cut_is_not_taken_for_dead(stage: Stage, stands: bool) -> None:
     # It loses lines, not its process: held against it, it was left single trials.
-    booker = stage.launch(ID)
+    booker = stage.set_up(ID)
     if stands:
-        booker.say("running", ID, body="x")
-    booker.say("stop", ID, reason=41)
+        booker.send("running", ID, body="x")
+    booker.send("stop", ID, reason=41)
     until(lambda: stage.counters["outcomes.cut"] == 1)
     assert not stage.module.switches["s0"].suspect
 
 
 def test_a_dead_booker_cuts_what_stood_there(stage: Stage) -> None:
-    stage.launch(ID).say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID))
+    stage.set_up(ID).send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID))
     stage.ports[0].stopListening()
     for one in stage.bookers:
         one.transport.abortConnection()
-    until(lambda: len(stage.caller.kinds(ID)) == 2)
-    assert stage.caller.kinds(ID)[1] == ("stop", 41)
+    until(lambda: len(stage.client.kinds(ID)) == 2)
+    assert stage.client.kinds(ID)[1] == ("stop", 41)
 
 
 def test_a_caller_that_gives_up_is_owed_nothing_and_the_booker_is_told(stage: Stage) -> None:
-    booker = stage.launch(ID)
-    stage.caller.say("stop", ID, reason=16)
+    booker = stage.set_up(ID)
+    stage.client.send("stop", ID, reason=16)
     until(lambda: booker.kinds(ID)[1:] == [("stop", 16)])
-    assert not stage.caller.got and not stage.core.calls
+    assert not stage.client.got and not stage.core.calls
 
 
 def test_nothing_is_kept_of_bookers_callers_and_calls_that_have_gone(stage: Stage) -> None:
     # Bookers, ids and connections are new all day: what is kept of each would fill the memory.
     port = stage.ports[0].getHost().port
     for number in range(1, 6):
-        uid, name, caller = f"{number:016x}", f"s{number}", stage.dial()
+        uid, name, caller = f"{number:016x}", f"s{number}", stage.connect()
 
         def tell(state: SwitchState, name: str = name, cell: int = number) -> None:
             stage.core.listed(ListKind.CHANGES, [SwitchEntry(name, cell, state)])
             stage.back.update_endpoints([BookerEndpoint(name, "127.0.0.1", port, state, 0)], False)
 
         tell(SwitchState.READY)
-        stage.ask(caller, uid, extras=f"dest:{number};width:1;via:-1")
-        until(partial(stage.at, uid))
+        stage.request(caller, uid, extras=f"dest:{number};width:1;via:-1")
+        until(partial(stage.peers, uid))
         tell(SwitchState.DRAINING)
-        stage.at(uid)[0].say("running", uid, body="x")
+        stage.peers(uid)[0].send("running", uid, body="x")
         until(partial(caller.got.__getitem__, slice(None)))
-        stage.at(uid)[0].say("stop", uid, reason=16)
+        stage.peers(uid)[0].send("stop", uid, reason=16)
         until(partial(caller.got.__getitem__, slice(1, None)))
         tell(SwitchState.GONE)
         caller.transport.loseConnection()
@@ -594,13 +594,13 @@
     assert list(stage.module.switches) == ["s0"] and not stage.module.first_try_times_us.keys() - {"n"}
 
 
-class Alive(Peer):
+class LivePeer(Peer):
     """A booker's connection that passes tests, as a live booker does."""
 
     def lineReceived(self, line: bytes) -> None:
         super().lineReceived(line)
         if self.got[-1]["kind"] == "check":
-            self.say("checked", self.got[-1]["uid"], reason=1)
+            self.send("checked", self.got[-1]["uid"], reason=1)
 
 
 @pytest.mark.parametrize("alive", [False, True])
@@ -610,19 +610,19 @@
     # Its process died and left its connections open and silent: refused beside them was taken for full,
     # and the call that stood there was never told as cut (mass bench, herd day: lost, 8 s after its end).
     # A live booker that is merely full passes the test and keeps its call.
-    booker = stage.launch(ID)
-    booker.say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID))
+    booker = stage.set_up(ID)
+    booker.send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID))
     if alive:
         for one in stage.bookers:
-            one.__class__ = Alive
+            one.__class__ = LivePeer
     stage.ports[0].stopListening()
     started = time.monotonic()
     if alive:
         pause(2 * LIMITS.booker_silent_us / 1e6)
-        assert stage.caller.kinds(ID) == [("running", None)]
+        assert stage.client.kinds(ID) == [("running", None)]
         assert any(m["kind"] == "check" for one in stage.bookers for m in one.got)
     else:
-        until(lambda: len(stage.caller.kinds(ID)) == 2, 7.5)  # within the 8 s that the rule allows
-        assert stage.caller.kinds(ID)[1] == ("stop", 41)
+        until(lambda: len(stage.client.kinds(ID)) == 2, 7.5)  # within the 8 s that the rule allows
+        assert stage.client.kinds(ID)[1] == ("stop", 41)
         assert time.monotonic() - started < 7.5
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -26,14 +26,14 @@
 from tests.test_admin import free_port
 from tests.test_board import Board, boards, event
 from tests.test_daemon import configuration, one_booker, start
-from tests.test_platform import FIGURES, ID, ID2
+from tests.test_platform import EXTRAS, ID, ID2
 
 __all__ = ["boards"]
 MS = 1_000
 
 
 def request(uid: str = ID) -> bytes:
-    meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": FIGURES}
+    meta = {"class": "slot-lookup", "left": "3000", "key": "n", "extras": EXTRAS}
     return json.dumps({"kind": "launch", "uid": uid, "meta": meta, "body": "v=0"}).encode() + b"\n"
 
 
@@ -254,8 +254,8 @@
         second = process.dial()
         second.write(request(ID2))
         for client, uid in ((first, ID), (second, ID2)):
-            until(lambda uid=uid: any(uid in one.seen for one in bookers))  # type: ignore[misc]
-            next(one for one in bookers if uid in one.seen).say("running", uid, body="x")
+            until(lambda uid=uid: any(uid in one.launches for one in bookers))  # type: ignore[misc]
+            next(one for one in bookers if uid in one.launches).send("running", uid, body="x")
             until(lambda client=client, uid=uid: ("running", uid, None) in client.answers())  # type: ignore[misc]
         first.write(check(ID2))
         until(lambda: ("checked", ID2, 0) in first.answers())
@@ -273,7 +273,7 @@
         process.clock.advance(650 * MS)
         client = process.dial()
         client.write(request())
-        until(lambda: any(ID in one.seen for one in bookers))
+        until(lambda: any(ID in one.launches for one in bookers))
         while process.phase() < Phase.CLOSING:
             process.clock.advance(10 * MS)
             pause(0.002)
@@ -294,7 +294,7 @@
         process.close()
         assert client.at_end() == [("stop", ID, 34)]
         pause(0.05)
-        assert not any(ID in one.seen for one in bookers) and not process.counters["sends"]
+        assert not any(ID in one.launches for one in bookers) and not process.counters["sends"]
     finally:
         process.end()
         ports[0].stopListening()
@@ -304,11 +304,11 @@
 def test_sigterm_before_the_boards_first_word_ends_a_process_that_never_listens(
     boards: list[Board], tmp_path: Path
 ) -> None:
-    process = Process(tmp_path, board=boards[0].where)
-    boards[0].asked()
+    process = Process(tmp_path, board=boards[0].address)
+    boards[0].requested()
     process.life.terminate()
-    boards[0].desks[0].tell(4, "draining")  # what it listens on comes too late
-    boards[0].desks[0].transport.write(b"4\n")
+    boards[0].peers[0].send_event(4, "draining")  # what it listens on comes too late
+    boards[0].peers[0].transport.write(b"4\n")
     pause(0.05)
     process.clock.advance(2_000 * MS)
     assert process.part.port is None and process.phase() is Phase.STOPPED
@@ -318,12 +318,12 @@
     boards: list[Board], tmp_path: Path, shared: socket.socket
 ) -> None:
     # The process beside it serves: a process that ends must not begin to accept from the queue of both.
-    process = Process(tmp_path, board=boards[0].where, inherited=shared.fileno())
-    boards[0].asked()
+    process = Process(tmp_path, board=boards[0].address, inherited=shared.fileno())
+    boards[0].requested()
     process.life.phase = Phase.SERVING  # as if another part listened: it drains, and the board goes on
     process.part.listening = lambda: True  # type: ignore[method-assign]
     process.life.terminate()
-    boards[0].desks[0].transport.write(b"3\n")
+    boards[0].peers[0].transport.write(b"3\n")
     pause(0.05)
     assert process.phase() is Phase.DRAINING and process.part.port is None
     shared.settimeout(10)
@@ -359,13 +359,13 @@
 
 
 def test_a_reload_is_followed_in_each_phase_until_the_close(boards: list[Board], tmp_path: Path) -> None:
-    process = Process(tmp_path, board=boards[0].where)
-    boards[0].asked()
+    process = Process(tmp_path, board=boards[0].address)
+    boards[0].requested()
     path = tmp_path / "config.json"
     raw = json.loads(path.read_text())
 
     def reload(board: Board) -> None:
-        path.write_text(json.dumps(raw | {"board": board.where}))
+        path.write_text(json.dumps(raw | {"board": board.address}))
         os.environ["GW_CONFIG"], os.environ["GW_LISTEN"] = str(path), "127.0.0.1:0"
         try:
             process.part.reload()
@@ -373,17 +373,17 @@
             del os.environ["GW_CONFIG"], os.environ["GW_LISTEN"]
 
     reload(boards[1])  # before the first word: the start goes on at the new address
-    assert boards[1].asked() == [b"watch 3"]
-    boards[1].desks[0].transport.write(b"3\n")
+    assert boards[1].requested() == [b"watch 3"]
+    boards[1].peers[0].transport.write(b"3\n")
     process.serving()
     process.life.terminate()
     reload(boards[0])  # while it drains
-    assert boards[0].asked(2) == [b"watch 3"]
+    assert boards[0].requested(2) == [b"watch 3"]
     process.clock.advance(720 * MS)
     assert process.phase() is Phase.CLOSING
     reload(boards[1])  # too late: nothing is followed any more
     pause(0.05)
-    assert len(boards[1].desks) == 1
+    assert len(boards[1].peers) == 1
     process.end()
 
 
@@ -398,10 +398,10 @@
     try:
         with path.open("w") as first:  # opens once the daemon does
             daemon.send_signal(signal.SIGHUP)
-            held.write_text(json.dumps(raw | {"board": boards[1].where}))
+            held.write_text(json.dumps(raw | {"board": boards[1].address}))
             held.rename(path)
-            first.write(json.dumps(raw | {"board": boards[0].where}))
-        assert boards[1].asked() == [b"watch 3"]
+            first.write(json.dumps(raw | {"board": boards[0].address}))
+        assert boards[1].requested() == [b"watch 3"]
         daemon.send_signal(signal.SIGTERM)
         _, said = daemon.communicate(timeout=30)
     finally:
@@ -416,19 +416,19 @@
     assert daemon.stderr
     try:
         port = int(daemon.stderr.readline().rpartition(b":")[2])
-        boards[0].asked()
-        path.write_text(json.dumps(json.loads(path.read_text()) | {"board": boards[1].where}))
+        boards[0].requested()
+        path.write_text(json.dumps(json.loads(path.read_text()) | {"board": boards[1].address}))
         daemon.send_signal(signal.SIGHUP)
         daemon.send_signal(signal.SIGTERM)
         daemon.send_signal(signal.SIGTERM)
-        boards[1].asked()  # the reload came first
+        boards[1].requested()  # the reload came first
         client = Client(port)
         client.write(request())
-        until(lambda: any(ID in one.seen for one in bookers))
-        booker = next(one for one in bookers if ID in one.seen)
-        booker.say("running", ID, body="x")
+        until(lambda: any(ID in one.launches for one in bookers))
+        booker = next(one for one in bookers if ID in one.launches)
+        booker.send("running", ID, body="x")
         until(lambda: client.answers() == [("running", ID, None)])
-        booker.say("stop", ID, reason=16)
+        booker.send("stop", ID, reason=16)
         assert client.at_end() == [("running", ID, None), ("stop", ID, 16)]
         client.socket.close()
         assert daemon.wait(timeout=30) == 0
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -12,8 +12,8 @@
 from bitternbeam.net.polling import TimedPoller
 from tests.loop import pause, reactor, until
 from tests.patience import PATIENT
-from tests.stalled import set_up_now, stand_still, write_now
-from tests.test_platform import FIGURES, ID, Stage
+from tests.stalled import block_loop_until, deliver_request, write_to_socket
+from tests.test_platform import EXTRAS, ID, Stage
 
 MS = 1_000
 
@@ -22,21 +22,21 @@
 def stage() -> Iterator[Stage]:
     one = Stage(PATIENT)
     yield one
-    one.end()
+    one.close()
 
 
-def stand_still_past_the_pause(stage: Stage) -> None:
+def block_past_the_pause(stage: Stage) -> None:
     """Stand still until the timer of a request that waits for a release is due."""
     deadlines = stage.front.deadlines
-    stand_still(deadlines, stage.core.by_uid[ID].held_until_us + 5 * MS)
+    block_loop_until(deadlines, stage.core.by_uid[ID].held_until_us + 5 * MS)
 
 
 def cancelled(stage: Stage) -> None:
-    write_now(stage.caller, "stop", ID, reason=16)
+    write_to_socket(stage.client, "stop", ID, reason=16)
 
 
 def closed(stage: Stage) -> None:
-    stage.caller.transport.socket.shutdown(socket.SHUT_RDWR)
+    stage.client.transport.socket.shutdown(socket.SHUT_RDWR)
 
 
 @pytest.mark.parametrize("leave", [cancelled, closed])
@@ -44,38 +44,38 @@
     stage: Stage, leave: Callable[[Stage], None]
 ) -> None:
     # The timer ran before the sockets were read: the request went on long after its client had left.
-    server = stage.launch(ID)
-    server.say("stop", ID, reason=41)
+    server = stage.set_up(ID)
+    server.send("stop", ID, reason=41)
     until(lambda: stage.counters["outcomes.cut"] == 1)
     leave(stage)
-    stand_still_past_the_pause(stage)
+    block_past_the_pause(stage)
     until(lambda: not stage.core.calls)
     pause(0.05)
-    assert len(stage.at(ID)) == 1
+    assert len(stage.peers(ID)) == 1
     assert sum(one.kinds(ID).count(("launch", None)) for one in stage.bookers) == 1
 
 
 def test_a_retry_that_is_due_goes_out_when_nothing_lies_unread(stage: Stage) -> None:
-    server = stage.launch(ID)
-    server.say("stop", ID, reason=41)
+    server = stage.set_up(ID)
+    server.send("stop", ID, reason=41)
     until(lambda: stage.counters["outcomes.cut"] == 1)
-    stand_still_past_the_pause(stage)
+    block_past_the_pause(stage)
     until(lambda: sum(one.kinds(ID).count(("launch", None)) for one in stage.bookers) == 2)
 
 
 def test_an_answer_that_came_in_time_goes_before_the_deadline_that_is_due_with_it(stage: Stage) -> None:
-    server = stage.launch(ID)
+    server = stage.set_up(ID)
     attempt = stage.core.by_uid[ID].out
     assert attempt is not None
-    write_now(server, "running", ID, body="x")
-    stand_still(stage.front.deadlines, attempt.sent_us + attempt.left_us + 5 * MS)
-    until(lambda: stage.caller.kinds(ID))
-    assert stage.caller.kinds(ID) == [("running", None)]
+    write_to_socket(server, "running", ID, body="x")
+    block_loop_until(stage.front.deadlines, attempt.sent_us + attempt.left_us + 5 * MS)
+    until(lambda: stage.client.kinds(ID))
+    assert stage.client.kinds(ID) == [("running", None)]
     assert server.kinds(ID) == [("launch", None)]  # and it was not given up
 
 
 def request(left_ms: int) -> dict[str, object]:
-    return {"meta": {"class": "low", "left": str(left_ms), "key": "n", "extras": FIGURES}, "body": "v=0\r\n"}
+    return {"meta": {"class": "low", "left": str(left_ms), "key": "n", "extras": EXTRAS}, "body": "v=0\r\n"}
 
 
 @pytest.mark.parametrize("new", [False, True], ids=["on an open connection", "on a new connection"])
@@ -83,15 +83,15 @@
     stage: Stage, new: bool
 ) -> None:
     # The client's time was counted from the read: the server was told 0.4 s more than the client had.
-    peer: object = stage.caller
+    peer: object = stage.client
     if new:
         peer = socket.create_connection(("127.0.0.1", stage.ports[1].getHost().port))
     pause(0.02)
     sent_us = stage.front.deadlines.now_us()
-    write_now(peer, "launch", ID, **request(1_000))
-    stand_still(stage.front.deadlines, sent_us + 400 * MS)
-    until(lambda: stage.at(ID))
-    left_ms = int(stage.at(ID)[0].got[-1]["meta"]["left"])
+    write_to_socket(peer, "launch", ID, **request(1_000))
+    block_loop_until(stage.front.deadlines, sent_us + 400 * MS)
+    until(lambda: stage.peers(ID))
+    left_ms = int(stage.peers(ID)[0].got[-1]["meta"]["left"])
     assert 0 < left_ms <= 600
     assert stage.core.by_uid[ID].end_us < sent_us + 1_000 * MS  # and its answer comes in time for it
     if isinstance(peer, socket.socket):
@@ -103,24 +103,24 @@
     pause(0.02)
     sent_us = stage.front.deadlines.now_us()
     with socket.create_connection(("127.0.0.1", stage.ports[1].getHost().port)) as peer:
-        write_now(peer, "launch", ID, **request(1_000))
-        stand_still(stage.front.deadlines, sent_us + 400 * MS)
-        until(lambda: stage.at(ID))
-    assert 0 < int(stage.at(ID)[0].got[-1]["meta"]["left"]) <= 600
+        write_to_socket(peer, "launch", ID, **request(1_000))
+        block_loop_until(stage.front.deadlines, sent_us + 400 * MS)
+        until(lambda: stage.peers(ID))
+    assert 0 < int(stage.peers(ID)[0].got[-1]["meta"]["left"]) <= 600
 
 
 def test_a_set_up_leaves_in_the_turn_in_which_its_time_was_computed(stage: Stage) -> None:
     # It left in the loop's next turn, and a busy one takes long: its time was no longer true.
     (server,) = stage.bookers
     until(lambda: stage.back.pools["s0"].connections)
-    set_up_now(stage, ID)
+    deliver_request(stage, ID)
     line = server.transport.socket.recv(10_000, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     assert json.loads(line)["uid"] == ID
-    until(lambda: stage.at(ID))
+    until(lambda: stage.peers(ID))
     assert server.kinds(ID) == [("launch", None)]
 
 
-class Script:
+class ScriptedPoller:
     """A poller and its clock: each poll takes what the script says, and so does the work after it."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
         self.now += self.takes
         return []
 
-    def turn(self, polls: TimedPoller, takes: float, work: float, timeout_s: float = 1.0) -> float:
+    def poll_then_work(self, polls: TimedPoller, takes: float, work: float, timeout_s: float = 1.0) -> float:
         """Poll, and return how old input read then may be; then be busy for a while."""
         self.takes = takes
         polls.poll(timeout_s, 1)
@@ -142,16 +142,18 @@
 
 
 def test_input_found_by_a_poll_that_had_to_wait_has_just_come() -> None:
-    script = Script()
+    script = ScriptedPoller()
     polls = TimedPoller(script, lambda: script.now)
-    assert script.turn(polls, takes=0.5, work=0.3) == 0
+    assert script.poll_then_work(polls, takes=0.5, work=0.3) == 0
     # Busy for 0.3 s: what the next poll finds at once may be as old, and so may a connection's first bytes.
-    assert script.turn(polls, takes=0.0, work=0.0) == 0.3
-    assert script.turn(polls, takes=0.0, work=0.0) == 0.3
-    assert script.turn(polls, takes=0.0, work=0.0) == 0
-    assert script.turn(polls, takes=0.0, work=0.2, timeout_s=0.0) == 0
-    assert script.turn(polls, takes=0.1, work=0.0, timeout_s=0.0) == 0.3  # it did not block: it was kept
-    assert script.turn(polls, takes=0.2, work=0.0) == 0
+    assert script.poll_then_work(polls, takes=0.0, work=0.0) == 0.3
+    assert script.poll_then_work(polls, takes=0.0, work=0.0) == 0.3
+    assert script.poll_then_work(polls, takes=0.0, work=0.0) == 0
+    assert script.poll_then_work(polls, takes=0.0, work=0.2, timeout_s=0.0) == 0
+    assert (
+        script.poll_then_work(polls, takes=0.1, work=0.0, timeout_s=0.0) == 0.3
+    )  # it did not block: it was kept
+    assert script.poll_then_work(polls, takes=0.2, work=0.0) == 0
 
 
 def test_the_reactor_is_watched_once_however_many_clocks_it_has(stage: Stage) -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -59,7 +59,7 @@
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=ROOT, check=True)
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(configuration(event(3, "up", full=True)) | {"board": boards[0].where}))
+    path.write_text(json.dumps(configuration(event(3, "up", full=True)) | {"board": boards[0].address}))
     admin = free_port()
     env = {"GW_CONFIG": str(path), "GW_LISTEN": "127.0.0.1:0", "GW_ADMIN": f"127.0.0.1:{admin}"}
     run = subprocess.Popen(["/bin/sh", "-c", deploy["run"]], cwd=ROOT, env=os.environ | env)
--- a/tests/test_waiting_attempts.py
+++ b/tests/test_waiting_attempts.py
@@ -23,14 +23,14 @@
         self.connects = HeldConnects(monkeypatch)
         (first,) = self.bookers
         first.transport.abortConnection()
-        self.connects.held()
+        self.connects.wait_for()
         self.address = self.ports[0].getHost().port
 
     def wait(self, **odd: str) -> None:
         """Send a request that then waits."""
-        self.ask(self.caller, ID, **odd)
+        self.request(self.client, ID, **odd)
         until(lambda: self.back.requests)
-        assert not self.at(ID)
+        assert not self.peers(ID)
 
     def tell(
         self, state: SwitchState, *, started_us: int = 0, port: int = 0, only_core: bool = False
@@ -51,7 +51,7 @@
         held, self.connects.waiting = self.connects.waiting, []
         self.core.listed(ListKind.CHANGES, [SwitchEntry("s1", 1, READY)])
         self.back.update_endpoints([BookerEndpoint("s1", "127.0.0.1", port.getHost().port, READY, 0)], False)
-        self.connects.open()
+        self.connects.complete_all()
         self.connects.waiting = held
         until(lambda: peers and self.back.pools["s1"].connections)
         return peers
@@ -59,25 +59,25 @@
     def nothing_is_written(self) -> None:
         """Let the connection come up; what waited for it must not be written there."""
         known = len(self.bookers)
-        self.connects.open()
+        self.connects.complete_all()
         until(lambda: len(self.bookers) > known or not self.back.pools)
         pause(0.05)
-        assert not self.at(ID)
+        assert not self.peers(ID)
 
 
 @pytest.fixture
 def stage(monkeypatch: pytest.MonkeyPatch) -> Iterator[Waiting]:
     one = Waiting(monkeypatch)
     yield one
-    one.end()
+    one.close()
 
 
 def test_one_that_may_still_go_is_written_when_the_connection_comes_up(stage: Waiting) -> None:
     stage.wait()
-    stage.connects.open()
-    until(lambda: stage.at(ID))
-    stage.at(ID)[0].say("running", ID, body="x")
-    until(lambda: stage.caller.kinds(ID) == [("running", None)])
+    stage.connects.complete_all()
+    until(lambda: stage.peers(ID))
+    stage.peers(ID)[0].send("running", ID, body="x")
+    until(lambda: stage.client.kinds(ID) == [("running", None)])
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
@@ -88,7 +88,7 @@
     stage.wait()
     stage.tell(state, only_core=True)
     stage.nothing_is_written()
-    until(lambda: stage.caller.kinds(ID) == [("stop", 34)])
+    until(lambda: stage.client.kinds(ID) == [("stop", 34)])
     assert stage.counters["sends.stale.not_listed"] == 1
 
 
@@ -101,12 +101,12 @@
     other = stage.second_server()
     due_us = stage.core.clock.now_us() + stage.core.settings.release_wait_us
     stage.tell(state)
-    until(lambda: [one for one in other if ID in one.seen])
+    until(lambda: [one for one in other if ID in one.launches])
     assert not stage.counters["outcomes.cut"] and stage.counters["outcomes.not_sent"] == 1
     assert stage.core.by_uid[ID].held_until_us == 0 < due_us
-    stage.connects.open()
+    stage.connects.complete_all()
     pause(0.05)
-    assert not stage.at(ID)
+    assert not stage.peers(ID)
 
 
 def test_a_server_with_a_new_address_gets_the_request_there_and_not_at_the_old_one(stage: Waiting) -> None:
@@ -116,11 +116,11 @@
     factory.buildProtocol = lambda _addr: peers.append(Peer()) or peers[-1]  # type: ignore[func-returns-value]
     stage.ports.append(reactor.listenTCP(0, factory, interface="127.0.0.1"))
     stage.tell(READY, port=stage.ports[-1].getHost().port)
-    stage.connects.held(2)
-    stage.connects.open()
-    until(lambda: [one for one in peers if ID in one.seen])
+    stage.connects.wait_for(2)
+    stage.connects.complete_all()
+    until(lambda: [one for one in peers if ID in one.launches])
     pause(0.05)
-    assert not stage.at(ID) and sum(ID in one.seen for one in peers) == 1
+    assert not stage.peers(ID) and sum(ID in one.launches for one in peers) == 1
 
 
 def test_a_server_that_started_anew_gets_nothing_that_was_decided_on_before(stage: Waiting) -> None:
@@ -129,7 +129,7 @@
     stage.tell(READY, started_us=stage.core.clock.now_us(), only_core=True)
     stage.nothing_is_written()
     assert stage.counters["sends.stale.restarted"] == 1
-    assert stage.caller.kinds(ID) == [("stop", 34)]  # its slow start has no room yet
+    assert stage.client.kinds(ID) == [("stop", 34)]  # its slow start has no room yet
 
 
 def test_a_client_that_has_left_is_not_sent_on(stage: Waiting) -> None:
@@ -142,7 +142,7 @@
 
 def test_a_client_that_cancels_while_its_request_waits_is_not_sent_on(stage: Waiting) -> None:
     stage.wait()
-    stage.caller.say("stop", ID, reason=16)
+    stage.client.send("stop", ID, reason=16)
     until(lambda: not stage.core.calls)
     stage.nothing_is_written()
 
@@ -150,7 +150,7 @@
 def test_a_wait_that_lasts_to_the_end_of_its_time_leaves_no_release_in_doubt(stage: Waiting) -> None:
     # It counted as an attempt that was not answered, whose release had to be waited for.
     stage.wait(left="400")
-    until(lambda: stage.caller.kinds(ID))
+    until(lambda: stage.client.kinds(ID))
     assert stage.counters["outcomes.no_connection"] == 1 and not stage.counters["outcomes.no_answer"]
     stage.nothing_is_written()
 
@@ -164,7 +164,7 @@
         pass
     assert not stage.core.may_write(leg.attempt)  # its timer is due, and has not had its turn
     assert stage.counters["sends.stale.too_late"] == 1
-    until(lambda: stage.caller.kinds(ID))
+    until(lambda: stage.client.kinds(ID))
     stage.nothing_is_written()
 
 
@@ -173,6 +173,6 @@
     call = stage.core.by_uid[ID]
     while stage.core.clock.now_us() < call.offer.taken_us + 500_000:
         pass
-    stage.connects.open()
-    until(lambda: stage.at(ID))
-    assert 0 < int(stage.at(ID)[0].got[-1]["meta"]["left"]) <= 500
+    stage.connects.complete_all()
+    until(lambda: stage.peers(ID))
+    assert 0 < int(stage.peers(ID)[0].got[-1]["meta"]["left"]) <= 500
