--- a/benchmarks/configuration/__main__.py
+++ b/benchmarks/configuration/__main__.py
@@ -143,7 +143,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name) / "store"
         bench = Bench(folder, bookers, calls)
-        memory.settle()
+        memory.freeze_heap()
         pause(3)
         bench.callers.take()
         pause(5)
--- a/benchmarks/configuration/bench.py
+++ b/benchmarks/configuration/bench.py
@@ -79,18 +79,18 @@
         module = Controller(settings, 1)
         self.core = CallControl(module, settings, self.deadlines, config.limits, self.counters)
         self.core.attach(Back(self.core, self.deadlines))
-        self.core.policies = versions.pinning
+        self.core.plan_provider = versions.pinning
         entries = [SwitchEntry(f"b{n}", n % 100, SwitchState.READY) for n in range(bookers)]
-        self.core.listed(ListKind.CACHED, entries)
+        self.core.update_bookers(ListKind.CACHED, entries)
         self.threaded = ThreadedStore(reactor, self.store)
         self.keeper = Rollout(
             versions=versions,
             clock=self.deadlines,
             soon=lambda act: reactor.callLater(0, act),
-            listed=self.core.listed_as.__contains__,
+            listed=self.core.states.__contains__,
             counters=self.counters,
             store=self.threaded,
-            busy=memory.at_work,
+            busy=memory.pause_collection,
         )
         self.threaded.start()
         self.callers = Callers(self.core, self.deadlines, rate)
--- a/benchmarks/configuration/comparisons.py
+++ b/benchmarks/configuration/comparisons.py
@@ -23,11 +23,11 @@
     times = []
     for _ in range(200):
         began = time.perf_counter()
-        compile_version(base, changes, Number(9, 9), bench.core.listed_as.__contains__)
+        compile_version(base, changes, Number(9, 9), bench.core.states.__contains__)
         times.append((time.perf_counter() - began) * 1000)
     gc.collect()
     tracemalloc.start()
-    held = compile_version(base, changes, Number(9, 9), bench.core.listed_as.__contains__)
+    held = compile_version(base, changes, Number(9, 9), bench.core.states.__contains__)
     kb = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
     assert held.number == Number(9, 9)
--- a/benchmarks/configuration/traffic.py
+++ b/benchmarks/configuration/traffic.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import reactor as installed_reactor
 
-from bitternbeam.core.calls import Attempt, End, Offer
+from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.core.control import CallControl
 from bitternbeam.decision.interface import Outcome
 from bitternbeam.tables.deadlines import Deadlines
@@ -29,13 +29,13 @@
 
     def done(self, attempt: Attempt) -> None:
         """Answer a set-up and end the call."""
-        if self.core.stood(attempt, ""):
-            self.core.ended(attempt, End(Outcome.SERVED))
+        if self.core.attempt_answered(attempt, ""):
+            self.core.attempt_ended(attempt, AttemptEnd(Outcome.SERVED))
 
     def probe(self, booker: str) -> None:
         """Ask nothing."""
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Take back a set-up."""
         return True
 
@@ -70,7 +70,7 @@
         if self.running:
             reactor.callLater(0.001, self.tick)
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         """Tell that nobody leaves early."""
         return True
 
@@ -85,28 +85,28 @@
             self.late_ms.append((self.deadlines.now_us() - self.due_us) / 1000)
             self.due_us += self.gap_us
         if self.running:
-            self.deadlines.at(self.due_us, self.call)
+            self.deadlines.call_at(self.due_us, self.call)
 
     def classes(self) -> str:
         """Draw a class."""
         return self.random.choice(sorted(self.core.classes))
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         """Count."""
         self.answers["answered"] += 1
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         """Count."""
         self.answers["refused"] += 1
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         """Count."""
         self.answers["refused"] += 1
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         """Pass over it."""
 
-    def released(self, ref: int, outcome: Outcome) -> None:
+    def send_release(self, ref: int, outcome: Outcome) -> None:
         """Pass over it."""
 
     def take(self) -> dict[str, float]:
--- a/bitternbeam/config.py
+++ b/bitternbeam/config.py
@@ -14,9 +14,9 @@
 from bitternbeam.descriptors import ADMIN_CLOSING, plan_descriptors
 from bitternbeam.fields import FieldError, Fields, parse
 from bitternbeam.limits import Limits
-from bitternbeam.settings import WireError, read_settings
+from bitternbeam.settings import InputError, read_settings
 
-MOST_OPEN = 20_000  # requests at once, whatever the settings allow: bounds the memory
+MAX_OPEN_REQUESTS = 20_000  # requests at once, whatever the settings allow: bounds the memory
 
 
 class ConfigError(Exception):
@@ -31,8 +31,8 @@
     host: str
     port: int
     seed: int
-    board: str
-    known: dict[str, Any]
+    discovery_address: str
+    known_bookers: dict[str, Any]
     settings: Settings
     limits: Limits
     admin: tuple[str, int] | None = None  # the operators' address: `admin`, or GW_ADMIN before it
@@ -47,7 +47,7 @@
     return host, int(port)
 
 
-def descriptors_allowed() -> int:
+def descriptor_limit() -> int:
     """Return how many descriptors the system lets this process hold."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
@@ -77,12 +77,12 @@
 
 def _config(top: Fields, environment: Mapping[str, str]) -> Config:
     for key in ("board", "known", "settings"):
-        if not top.has(key):
+        if not top.contains(key):
             raise ConfigError(f"{key}: missing")
     host, port = read_address("listen", environment.get("GW_LISTEN") or top.text("listen", ""))
     read_address("board", top.raw["board"])
-    known = top.fields("known")
-    known.whole("rev", 0, least=0)
+    known = top.nested("known")
+    known.integer("rev", 0, minimum=0)
     known.array("notices", [])
     settings = _read_settings(top)
     return Config(
@@ -90,8 +90,8 @@
         host=host,
         port=port,
         seed=_read_seed(top),
-        board=str(top.raw["board"]),
-        known=known.raw,
+        discovery_address=str(top.raw["board"]),
+        known_bookers=known.raw,
         settings=settings,
         limits=_read_limits(top),
         admin=_read_admin(top, environment),
@@ -101,8 +101,8 @@
 
 def _read_settings(top: Fields) -> Settings:
     try:
-        return read_settings(top.fields("settings").raw)
-    except WireError as error:
+        return read_settings(top.nested("settings").raw)
+    except InputError as error:
         raise ConfigError(f"settings: {str(error).removeprefix('settings: ')}") from None
 
 
@@ -116,19 +116,19 @@
 
 def _read_limits(top: Fields) -> Limits:
     """Return the sizes that follow from the descriptors and from the requests that may be open."""
-    sockets = top.fields("limits", {}).whole("sockets", 1024, above=0)
-    max_open = top.fields("settings").fields("limits").whole("max_open", MOST_OPEN, above=0)
+    sockets = top.nested("limits", {}).integer("sockets", 1024, above=0)
+    max_open = top.nested("settings").nested("limits").integer("max_open", MAX_OPEN_REQUESTS, above=0)
     try:
-        plan = plan_descriptors(min(sockets, descriptors_allowed()))
+        plan = plan_descriptors(min(sockets, descriptor_limit()))
     except ValueError as error:
         raise ConfigError(f"limits.sockets: {error}") from None
     return Limits(
-        client_connections=plan.callers,
-        client_closing=plan.callers_closing,
-        client_over_limit=plan.over_limit,
+        client_connections=plan.clients,
+        client_closing_connections=plan.clients_closing,
+        client_excess_connections=plan.excess_clients,
         linger_connections=plan.lingering,
         upstream_connections=plan.upstream,
-        calls=min(MOST_OPEN, max_open),
+        calls=min(MAX_OPEN_REQUESTS, max_open),
         admin_connections=plan.admin,
         admin_closing=ADMIN_CLOSING,
     )
--- a/bitternbeam/configuration/pinning.py
+++ b/bitternbeam/configuration/pinning.py
@@ -71,7 +71,7 @@
 
     # The core's side.
 
-    def pin(self, now_us: int, offer: Offer) -> Plan | int:
+    def pin_plan(self, now_us: int, offer: Offer) -> Plan | int:
         """Return the plan of the version that runs now, or for how long to turn the caller away."""
         self.now_us = max(self.now_us, now_us)
         snapshot = self.snapshot
@@ -79,16 +79,17 @@
         if self.previous is not None:
             old = self.plan(self.previous, offer)
             limits = [one.class_limits(offer.call_class) for one in (snapshot, self.previous)]
-            callers = [one.caller_limits(offer.caller) for one in (snapshot, self.previous)]
+            callers = [one.caller_limits(offer.client) for one in (snapshot, self.previous)]
             same = not self.meets_moved(plan) and (
-                plan.allowed == old.allowed and plan.attempts == old.attempts
-                and plan.answer_us == old.answer_us and limits[0] == limits[1] and callers[0] == callers[1]
+                plan.allowed == old.allowed and plan.max_attempts == old.max_attempts
+                and plan.answer_in_us == old.answer_in_us
+                and limits[0] == limits[1] and callers[0] == callers[1]
             )  # fmt: skip
             if self.all_touched or not same:
-                plan = replace(plan, changed=True, before=old.allowed)
-        wait_us = self.caps.take(now_us, snapshot, offer.call_class, offer.caller)
+                plan = replace(plan, differs_from_previous=True, previous_allowed=old.allowed)
+        wait_us = self.caps.take(now_us, snapshot, offer.call_class, offer.client)
         if wait_us:
-            self.settled(plan, False)
+            self.final_answer_sent(plan, False)
             return wait_us
         self.open[snapshot.number] = self.open.get(snapshot.number, 0) + 1
         return plan
@@ -100,14 +101,14 @@
         return Pinned(
             version=str(snapshot.number),
             allowed=snapshot.candidates(offer.call_class, offer.cell, offer.number),
-            attempts=bounds.attempts,
-            answer_us=bounds.answer_us,
-            caller=offer.caller,
+            max_attempts=bounds.attempts,
+            answer_in_us=bounds.answer_us,
+            client=offer.client,
             call_class=offer.call_class,
             number=snapshot.number,
         )
 
-    def settled(
+    def final_answer_sent(
         self, plan: Plan, stood: bool, booker: str = "", cell: int = -1, outcome: Outcome = Outcome.NOT_SENT
     ) -> None:
         """Note the final answer, and how the last attempt ended, if there was one, and where."""
@@ -118,21 +119,21 @@
         tally.sends += bool(booker)
         if self.judge is not None and plan.number == self.snapshot.number:
             blameless = not stood and booker not in self.moved and excused(plan, booker, cell, outcome)
-            self.judge.settled(plan.call_class, plan.changed, stood, bool(booker), blameless)
+            self.judge.settled(plan.call_class, plan.differs_from_previous, stood, bool(booker), blameless)
 
-    def barred(self, plan: Plan, why: str) -> None:
+    def send_rejected(self, plan: Plan, why: str) -> None:
         """Note a send of the module's that the core did not carry out."""
         assert isinstance(plan, Pinned)
         tally = self.before.tally(self.now_us, plan.call_class)
         tally.sends += 1
         tally.barred += 1
         if self.judge is not None and plan.number == self.snapshot.number:
-            self.judge.barred(plan.call_class, plan.changed)
+            self.judge.barred(plan.call_class, plan.differs_from_previous)
 
-    def over(self, plan: Plan) -> None:
+    def call_ended(self, plan: Plan) -> None:
         """Note that nothing of the call is left."""
         assert isinstance(plan, Pinned)
-        self.caps.over(plan.caller)
+        self.caps.over(plan.client)
         left = self.open[plan.number] - 1
         if left:
             self.open[plan.number] = left
--- a/bitternbeam/configuration/probation.py
+++ b/bitternbeam/configuration/probation.py
@@ -164,14 +164,14 @@
 
 def excused(plan: Plan, booker: str, cell: int, outcome: Outcome) -> bool:
     """Tell whether a changed call's failure is its booker's own, which going back would not mend."""
-    if outcome not in AT_BOOKER or not allows(plan.before, booker, cell):
+    if outcome not in AT_BOOKER or not allows(plan.previous_allowed, booker, cell):
         return False
-    if plan.before is None:
+    if plan.previous_allowed is None:
         return plan.allowed is None
     return all(
         all(allows(plan.allowed, name, -1) for name in tier.switches)
         and (plan.allowed is None or tier.cells <= frozenset().union(*(one.cells for one in plan.allowed)))
-        for tier in plan.before
+        for tier in plan.previous_allowed
     )
 
 
--- a/bitternbeam/configuration/rollout.py
+++ b/bitternbeam/configuration/rollout.py
@@ -227,7 +227,7 @@
         """Let the judge speak every second while a version is on probation."""
         if self.tick:
             self.tick.cancel()
-        self.tick = self.clock.at(self.clock.now_us() + SECOND, self._judge)
+        self.tick = self.clock.call_at(self.clock.now_us() + SECOND, self._judge)
 
     def _judge(self) -> None:
         if self.versions.version.stage is not Stage.PROBATION:
--- a/bitternbeam/core/control.py
+++ b/bitternbeam/core/control.py
@@ -10,10 +10,10 @@
 import logging
 from collections.abc import Iterable
 
-from bitternbeam.core.admission import TurnedAway, admit
-from bitternbeam.core.calls import Attempt, End, Offer, State
-from bitternbeam.core.ports import Clock, Decisions, Front
-from bitternbeam.core.sending import barred, out_of_bounds, ran, stale
+from bitternbeam.core.admission import Rejected, admit
+from bitternbeam.core.calls import Attempt, AttemptEnd, CallState, Offer
+from bitternbeam.core.ports import Clock, DecisionModule, Frontend
+from bitternbeam.core.sending import limit_reason, may_have_run, rejection_reason, staleness_reason
 from bitternbeam.core.table import Call, CallTable
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
@@ -26,19 +26,19 @@
     """The call table, the deadlines, the drain and the shutdown of one group of bookers."""
 
     def __init__(
-        self, module: Decisions, settings: api.Settings, clock: Clock, limits: Limits, counters: Counters
+        self, module: DecisionModule, settings: api.Settings, clock: Clock, limits: Limits, counters: Counters
     ) -> None:
         super().__init__(module, settings, clock, limits, counters)
         self.classes = {kind.name for kind in settings.classes}
         self.longest_us = max(kind.deadline_us for kind in settings.classes)
 
     @property
-    def has_list(self) -> bool:
+    def has_booker_list(self) -> bool:
         """Tell whether the list of bookers was told once, if only from the configuration."""
-        return self.listing.told
+        return self.listing.received
 
     @property
-    def listed_as(self) -> dict[str, api.SwitchState]:
+    def states(self) -> dict[str, api.SwitchState]:
         """Return the states of the bookers listed."""
         return self.listing.states
 
@@ -49,18 +49,18 @@
 
     # From fronts.
 
-    def offer(self, front: Front, offer: Offer) -> int:
+    def offer(self, front: Frontend, offer: Offer) -> int:
         """Take a call; returns its handle. The answer may come before this returns."""
         self.counters.add("calls.offered")
         if offer.uid in self.by_uid or offer.call_class not in self.classes:
             # Two calls of one name could not be told apart at the booker.
             self.counters.add("calls.unusable")
-            self.figures.count("errors", offer.call_class)
-            front.failed(offer.ref, late=False)
+            self.metrics.increment("errors", offer.call_class)
+            front.send_failure(offer.ref, late=False)
             return 0
         if self.calls.full:
             self._turn_away(
-                front, offer, TurnedAway("calls.over_the_limit", self.settings.max_stay_away_us, None)
+                front, offer, Rejected("calls.over_the_limit", self.settings.max_stay_away_us, None)
             )
             return 0
         now_us = self.clock.now_us()
@@ -69,37 +69,37 @@
             now_us,
             self.listing,
             most_away_us=self.settings.max_stay_away_us,
-            gate=self.gate,
-            policies=self.policies,
-            bounds=self.bounds,
+            gate=self.admission_filter,
+            policies=self.plan_provider,
+            bounds=self.limiter,
         )
-        if isinstance(verdict, TurnedAway):
+        if isinstance(verdict, Rejected):
             self._turn_away(front, offer, verdict)
             return 0
         plan = verdict.plan
-        kept_us = offer.left_us if plan.answer_us is None else min(offer.left_us, plan.answer_us)
-        end_us = offer.taken_us + kept_us - self.limits.answer_margin_us
-        call = Call(offer, front, plan, verdict.gate, end_us)
+        kept_us = offer.left_us if plan.answer_in_us is None else min(offer.left_us, plan.answer_in_us)
+        end_us = offer.received_us + kept_us - self.limits.answer_margin_us
+        call = Call(offer, front, plan, verdict.admission_filter, end_us)
         call.handle = self.calls.put(call)
         self.by_uid[offer.uid] = call
-        call.deadline = self.clock.at(end_us, lambda: self._time_up(call))
-        call.held_until_us = self.held.get(offer.uid, 0)
-        if now_us < call.held_until_us:
+        call.deadline = self.clock.call_at(end_us, lambda: self._time_up(call))
+        call.release_wait_until_us = self.held_ids.get(offer.uid, 0)
+        if now_us < call.release_wait_until_us:
             # Danger: under this id an attempt was out just now, whose release is in doubt: one more would
             # make two at once.
             self.counters.add("calls.held_as_repeats")
-            self.clock.at(call.held_until_us, lambda: self._put(call, verdict.allowed))
+            self.clock.call_at(call.release_wait_until_us, lambda: self._put(call, verdict.allowed))
         else:
             self._put(call, verdict.allowed)
         return call.handle
 
     def _put(self, call: Call, allowed: tuple[api.Tier, ...] | None) -> None:
         """Put a call to the module, if it is still owed its answer."""
-        if call.state is not State.PENDING:
+        if call.state is not CallState.PENDING:
             return
         offer = call.offer
-        left_us = call.end_us + self.limits.answer_margin_us - self.clock.now_us()
-        self.feed.put(
+        left_us = call.answer_by_us + self.limits.answer_margin_us - self.clock.now_us()
+        self.event_queue.process(
             api.NewCall(
                 call=offer.uid,
                 call_class=offer.call_class,
@@ -109,58 +109,63 @@
                 redial=offer.redial,
                 again=offer.again,
                 allowed=allowed,
-                max_attempts=call.plan.attempts,
+                max_attempts=call.plan.max_attempts,
             )
         )
 
-    def _turn_away(self, front: Front, offer: Offer, verdict: TurnedAway) -> None:
+    def _turn_away(self, front: Frontend, offer: Offer, verdict: Rejected) -> None:
         """Refuse an offer before it becomes a call."""
-        self.counters.add(verdict.why)
-        self.figures.count("shed", offer.call_class)
-        front.refused(offer.ref, verdict.away_us)
-        if self.policies and verdict.plan is not None:
-            self.policies.settled(verdict.plan, False)
-            self.policies.over(verdict.plan)
+        self.counters.add(verdict.counter)
+        self.metrics.increment("shed", offer.call_class)
+        front.send_refusal(offer.ref, verdict.retry_after_us)
+        if self.plan_provider and verdict.plan is not None:
+            self.plan_provider.final_answer_sent(verdict.plan, False)
+            self.plan_provider.call_ended(verdict.plan)
 
     def withdraw(self, handle: int) -> None:
         """Owe a caller who gave up a set-up nothing more."""
         call = self.calls.get(handle)
-        if call is None or call.state is not State.PENDING:
+        if call is None or call.state is not CallState.PENDING:
             return
         self.counters.add("calls.withdrawn")
-        self.settle(call, State.OVER)
-        self.feed.put(api.Withdrawn(call.offer.uid))
-        self.give_up(call, api.Outcome.CALLED_OFF)
-        self.forget(call)
+        self.leave_pending(call, CallState.ENDED)
+        self.event_queue.process(api.Withdrawn(call.offer.uid))
+        self.cancel_attempt(call, api.Outcome.CALLED_OFF)
+        self.remove_if_finished(call)
 
     def release(self, handle: int) -> None:
         """End a call that stands, at the caller's word."""
         call = self.calls.get(handle)
-        if call is None or call.state is not State.STANDING or call.out is None:
+        if call is None or call.state is not CallState.ESTABLISHED or call.current_attempt is None:
             return
         self.counters.add("calls.released_by_caller")
         self.hang_up(call)
 
     # From backs.
 
-    def stood(self, attempt: Attempt, body: object) -> bool:
+    def attempt_answered(self, attempt: Attempt, body: object) -> bool:
         """Take an answer; False if nobody waits for it, so that the back must release it."""
-        call = self.calls.get(attempt.call)
-        if call is None or call.out is not attempt or call.state is not State.PENDING or attempt.given_up:
+        call = self.calls.get(attempt.call_handle)
+        if (
+            call is None
+            or call.current_attempt is not attempt
+            or call.state is not CallState.PENDING
+            or attempt.cancel_outcome
+        ):
             return False
         if attempt.deadline:
             attempt.deadline.cancel()
-        self.settle(call, State.STANDING)
+        self.leave_pending(call, CallState.ESTABLISHED)
         self.trace("stands", call)
         self.counters.add("answers.served")
-        self.figures.count("ok", call.offer.call_class)
-        if self.policies:
-            self.policies.settled(call.plan, True, attempt.booker)
-        if self.bounds:
-            self.bounds.answered(attempt.booker, self.clock.now_us())
-        call.front.answered(call.offer.ref, body)
-        took_us = self.clock.now_us() - attempt.sent_us
-        self.feed.put(api.AttemptAnswered(call.offer.uid, attempt.number, attempt.booker, took_us))
+        self.metrics.increment("ok", call.offer.call_class)
+        if self.plan_provider:
+            self.plan_provider.final_answer_sent(call.plan, True, attempt.booker)
+        if self.limiter:
+            self.limiter.attempt_answered(attempt.booker, self.clock.now_us())
+        call.front.send_answer(call.offer.ref, body)
+        took_us = self.clock.now_us() - attempt.decided_us
+        self.event_queue.process(api.AttemptAnswered(call.offer.uid, attempt.number, attempt.booker, took_us))
         return True
 
     def may_write(self, attempt: Attempt) -> bool:
@@ -169,127 +174,127 @@
         The rules and the client's presence were those of the moment of the decision, and an attempt may
         wait long for a connection. The shares of the fleet (Bounds) counted it then and hold until its end.
         """
-        call = self.calls.get(attempt.call)
-        why = stale(call, attempt, self.clock.now_us(), self.listing)
-        if not why and call is not None and not call.front.still_waiting(call.offer.ref):
+        call = self.calls.get(attempt.call_handle)
+        why = staleness_reason(call, attempt, self.clock.now_us(), self.listing)
+        if not why and call is not None and not call.front.is_client_waiting(call.offer.ref):
             why = "client_left"
-            self.withdraw(attempt.call)
+            self.withdraw(attempt.call_handle)
         if why:
             self.counters.add(f"sends.stale.{why}")
         return not why
 
-    def written(self, attempt: Attempt) -> None:
+    def attempt_written(self, attempt: Attempt) -> None:
         """Count an attempt whose set-up has been handed whole to the booker's connection."""
         attempt.unsent = False
-        self.figures.count("tries", attempt.offer.call_class)
+        self.metrics.increment("tries", attempt.offer.call_class)
 
-    def progressed(self, attempt: Attempt) -> None:
+    def attempt_progressed(self, attempt: Attempt) -> None:
         """Take word that a booker is at it."""
-        call = self.calls.get(attempt.call)
-        if call is not None and call.out is attempt and call.state is State.PENDING:
-            call.front.progressed(call.offer.ref)
+        call = self.calls.get(attempt.call_handle)
+        if call is not None and call.current_attempt is attempt and call.state is CallState.PENDING:
+            call.front.send_progress(call.offer.ref)
 
-    def ended(self, attempt: Attempt, end: End) -> None:
+    def attempt_ended(self, attempt: Attempt, end: AttemptEnd) -> None:
         """Take the end of an attempt, before or after its answer."""
-        call = self.calls.get(attempt.call)
-        if call is None or call.out is not attempt:
+        call = self.calls.get(attempt.call_handle)
+        if call is None or call.current_attempt is not attempt:
             return
-        if attempt.given_up:
-            end = End(attempt.given_up, report=end.report)
-        standing = call.state is State.STANDING
+        if attempt.cancel_outcome:
+            end = AttemptEnd(attempt.cancel_outcome, report=end.report)
+        standing = call.state is CallState.ESTABLISHED
         if standing:
             self.counters.add(f"calls.over.{end.outcome.name.lower()}")
-            call.state = State.OVER
-            call.front.released(call.offer.ref, end.outcome)
-        self.close(call, attempt, end)
-        self.forget(call)
+            call.state = CallState.ENDED
+            call.front.send_release(call.offer.ref, end.outcome)
+        self.close_attempt(call, attempt, end)
+        self.remove_if_finished(call)
 
-    def reported(self, booker: str, report: api.Report) -> None:
+    def report_received(self, booker: str, report: api.Report) -> None:
         """Take the state of a booker's lines that came unasked."""
-        self.feed.put(api.ProbeAnswer(booker, 0, report))
+        self.event_queue.process(api.ProbeAnswer(booker, 0, report))
 
-    def probed(self, booker: str, took_us: int, report: api.Report | None) -> None:
+    def probe_ended(self, booker: str, took_us: int, report: api.Report | None) -> None:
         """Take the answer to a probe, or that none came in took_us."""
-        self.feed.put(api.ProbeAnswer(booker, took_us, report))
+        self.event_queue.process(api.ProbeAnswer(booker, took_us, report))
 
     # From directories.
 
-    def listed(self, kind: api.ListKind, entries: Iterable[api.SwitchEntry]) -> None:
+    def update_bookers(self, kind: api.ListKind, entries: Iterable[api.SwitchEntry]) -> None:
         """Take news of the list."""
         entries = tuple(entries)
         self.listing.update(kind, entries)
-        self.feed.put(api.ListEvent(kind, entries))
+        self.event_queue.process(api.ListEvent(kind, entries))
 
     # The module's side.
 
-    def act(self, action: api.Action) -> None:
+    def execute_action(self, action: api.Action) -> None:
         """Carry out what the module wants."""
         if isinstance(action, api.SetTimer):
             ref = action.ref
-            self.clock.at(action.at_us, lambda: self.feed.put(api.TimerDue(ref)))
+            self.clock.call_at(action.at_us, lambda: self.event_queue.process(api.TimerDue(ref)))
         elif isinstance(action, api.Log):
             log.info("%s", action.text)
         elif isinstance(action, api.Probe):
             # A probe is work at the booker: none without leave, nor to one that drains or is gone.
-            ready = self.listed_as.get(action.switch) is api.SwitchState.READY
+            ready = self.states.get(action.switch) is api.SwitchState.READY
             if ready and self.settings.may_probe:
                 self.back.probe(action.switch)
         elif isinstance(action, (api.Send, api.Refuse, api.Fail, api.Cancel)):
             call = self.by_uid.get(action.call)
-            if call is None or call.state is not State.PENDING:
+            if call is None or call.state is not CallState.PENDING:
                 self.counters.add("module.too_late")
                 if isinstance(action, api.Send):  # the module has it as out
                     self._never_sent(action.call, -1, action.switch, finished=True)
             elif isinstance(action, api.Send):
                 self._send(call, action)
             elif isinstance(action, api.Cancel):
-                self.give_up(call, api.Outcome.CALLED_OFF)
+                self.cancel_attempt(call, api.Outcome.CALLED_OFF)
             else:
-                self.finish(call, action)
+                self.send_final_answer(call, action)
 
     def _send(self, call: Call, action: api.Send) -> None:
         """Carry out a send, if the rules allow it."""
         now_us, uid, switch = self.clock.now_us(), call.offer.uid, action.switch
-        why = barred(call, switch, now_us, self.listing, self.settings)
+        why = rejection_reason(call, switch, now_us, self.listing, self.settings)
         if not why:
-            why, final = out_of_bounds(call, switch, now_us, self.bounds)
+            why, final = limit_reason(call, switch, now_us, self.limiter)
             if final:
                 self.counters.add(f"sends.barred.{why}")
-                self.finish(call, api.Fail(uid) if ran(call) else api.Refuse(uid))
+                self.send_final_answer(call, api.Fail(uid) if may_have_run(call) else api.Refuse(uid))
                 self._never_sent(uid, call.attempts, switch, finished=True)
                 return
         number = call.attempts
         call.attempts += 1
         if why:
             self.counters.add(f"sends.barred.{why}")
-            if self.policies:
-                self.policies.barred(call.plan, why)
-            if call.out is None:  # else that one's outcome will come
+            if self.plan_provider:
+                self.plan_provider.send_rejected(call.plan, why)
+            if call.current_attempt is None:  # else that one's outcome will come
                 self._never_sent(uid, number, switch, finished=False)
             return
-        left_us = min(action.timeout_us or call.end_us - now_us, call.end_us - now_us)
+        left_us = min(action.timeout_us or call.answer_by_us - now_us, call.answer_by_us - now_us)
         started_us = self.listing.started_us(switch)
         attempt = Attempt(call.handle, number, switch, call.offer, left_us, now_us, started_us)
-        call.out, call.booker = attempt, switch
-        attempt.deadline = self.clock.at(now_us + left_us, lambda: self._unanswered(attempt))
-        call.sent += 1
+        call.current_attempt, call.booker = attempt, switch
+        attempt.deadline = self.clock.call_at(now_us + left_us, lambda: self._unanswered(attempt))
+        call.sent_attempts += 1
         self.counters.add("sends")
         self.trace("sent", call)
         self.back.set_up(attempt)
 
     def _never_sent(self, uid: str, number: int, switch: str, finished: bool) -> None:
         """Tell the module that an attempt which it has as out did not go, or it would keep it for ever."""
-        self.feed.later(api.AttemptEnded(uid, number, switch, api.Outcome.NOT_SENT, 0, finished))
+        self.event_queue.enqueue(api.AttemptEnded(uid, number, switch, api.Outcome.NOT_SENT, 0, finished))
 
     def _unanswered(self, attempt: Attempt) -> None:
-        call = self.calls.get(attempt.call)
-        if call is not None and call.out is attempt and call.state is State.PENDING:
-            self.give_up(call, api.Outcome.NO_ANSWER)
-            self.forget(call)
+        call = self.calls.get(attempt.call_handle)
+        if call is not None and call.current_attempt is attempt and call.state is CallState.PENDING:
+            self.cancel_attempt(call, api.Outcome.NO_ANSWER)
+            self.remove_if_finished(call)
 
     def _time_up(self, call: Call) -> None:
         """Give the answer that the module failed to give in time."""
-        if call.state is State.PENDING:
+        if call.state is CallState.PENDING:
             self.counters.add("calls.time_up")
-            self.finish(call, api.Fail(call.offer.uid), late=True)
-            self.feed.put(api.Withdrawn(call.offer.uid))  # the module may still hold it
+            self.send_final_answer(call, api.Fail(call.offer.uid), late=True)
+            self.event_queue.process(api.Withdrawn(call.offer.uid))  # the module may still hold it
--- a/bitternbeam/core/feeding.py
+++ b/bitternbeam/core/event_queue.py
@@ -6,19 +6,19 @@
 from collections import deque
 from collections.abc import Callable
 
-from bitternbeam.core.ports import Clock, Decisions
+from bitternbeam.core.ports import Clock, DecisionModule
 from bitternbeam.counters import Counters
 from bitternbeam.decision.interface import Action, Event
 
 log = logging.getLogger(__name__)
 
 
-class Feed:
+class EventQueue:
     """The events that the module has not seen yet."""
 
     def __init__(
         self,
-        module: Decisions,
+        module: DecisionModule,
         clock: Clock,
         counters: Counters,
         act: Callable[[Action], None],
@@ -27,26 +27,26 @@
         self.module = module
         self.clock = clock
         self.counters = counters
-        self.act = act
-        self.undecided = undecided
+        self.execute_action = act
+        self.handle_decision_failure = undecided
         self.events: deque[Event] = deque()
-        self.feeding = False
+        self.processing = False
 
-    def later(self, event: Event) -> None:
+    def enqueue(self, event: Event) -> None:
         """Add an event to those that wait, while the module's actions are being carried out."""
         self.events.append(event)
 
-    def put(self, event: Event) -> None:
+    def process(self, event: Event) -> None:
         """Put an event to the module; what its actions bring about waits its turn."""
         self.events.append(event)
-        if self.feeding:
+        if self.processing:
             return
-        self.feeding = True
+        self.processing = True
         try:
             while self.events:
                 self._decide(self.events.popleft())
         finally:
-            self.feeding = False
+            self.processing = False
 
     def _decide(self, event: Event) -> None:
         try:
@@ -55,11 +55,11 @@
             # A fault in a decision must cost one decision, not the daemon: a crash ends every call.
             self.counters.add("module.faults")
             log.exception("the decision on %s failed", type(event).__name__)
-            self.undecided(event)
+            self.handle_decision_failure(event)
             return
         for action in actions:
             try:
-                self.act(action)
+                self.execute_action(action)
             except Exception:
                 # The rest may be another call's answer, or the timer on which the module's own work hangs.
                 self.counters.add("module.actions_failed")
--- a/bitternbeam/core/table.py
+++ b/bitternbeam/core/table.py
@@ -7,14 +7,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bitternbeam.core.calls import Attempt, End, Offer, Plan, State
-from bitternbeam.core.feeding import Feed
+from bitternbeam.core.calls import Attempt, AttemptEnd, CallState, Offer, Plan
+from bitternbeam.core.event_queue import EventQueue
 from bitternbeam.core.listing import Listing
-from bitternbeam.core.ports import Back, Bounds, Clock, Decisions, Front, Gate, Policies
+from bitternbeam.core.ports import (
+    AdmissionFilter,
+    Backend,
+    Clock,
+    DecisionModule,
+    Frontend,
+    PlanProvider,
+    TrafficLimiter,
+)
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
-from bitternbeam.figures.counts import Figures
 from bitternbeam.limits import Limits
+from bitternbeam.metrics.counts import RequestCounts
 from bitternbeam.tables.deadlines import Deadline
 from bitternbeam.tables.slots import SlotTable
 
@@ -28,46 +36,50 @@
     """A call that the core keeps until nothing is owed and nothing is out."""
 
     offer: Offer
-    front: Front
+    front: Frontend
     plan: Plan
-    gate: Gate | None  # that passed it, and hears of its end
-    end_us: int  # its final answer is given by then
+    admission_filter: AdmissionFilter | None  # that passed it, and hears of its end
+    answer_by_us: int  # its final answer is given by then
     handle: int = 0
-    state: State = State.PENDING
+    state: CallState = CallState.PENDING
     attempts: int = 0
-    sent: int = 0  # of its attempts, those that went out
-    out: Attempt | None = None  # sent and not answered, or standing
+    sent_attempts: int = 0  # of its attempts, those that went out
+    current_attempt: Attempt | None = None  # sent and not answered, or standing
     booker: str = ""  # of its last attempt
     outcome: api.Outcome = api.Outcome.NOT_SENT  # likewise
-    held_until_us: int = 0  # a release is awaited until then
+    release_wait_until_us: int = 0  # a release is awaited until then
     deadline: Deadline | None = None
 
 
 class CallTable(ABC):
     """The calls of one group of bookers, and how they come to their end."""
 
-    back: Back
+    back: Backend
 
     def __init__(
-        self, module: Decisions, settings: api.Settings, clock: Clock, limits: Limits, counters: Counters
+        self, module: DecisionModule, settings: api.Settings, clock: Clock, limits: Limits, counters: Counters
     ) -> None:
         self.module = module
         self.settings = settings
         self.clock = clock
         self.limits = limits
         self.counters = counters
-        self.figures = Figures(tuple(kind.name for kind in settings.classes))
+        self.metrics = RequestCounts(tuple(kind.name for kind in settings.classes))
         self.calls: SlotTable[Call] = SlotTable(limits.calls)
         self.by_uid: dict[str, Call] = {}
-        self.held: dict[str, int] = {}  # ids of calls that are over, while a release of theirs is in doubt
+        self.held_ids: dict[
+            str, int
+        ] = {}  # ids of calls that are over, while a release of theirs is in doubt
         self.listing = Listing()
-        self.gate: Gate | None = None
-        self.policies: Policies | None = None
-        self.bounds: Bounds | None = None
-        self.feed = Feed(module, clock, counters, self.act, self.undecided)
-        self.idle: Callable[[], None] | None = None
+        self.admission_filter: AdmissionFilter | None = None
+        self.plan_provider: PlanProvider | None = None
+        self.limiter: TrafficLimiter | None = None
+        self.event_queue = EventQueue(
+            module, clock, counters, self.execute_action, self.handle_decision_failure
+        )
+        self.on_idle: Callable[[], None] | None = None
 
-    def attach(self, back: Back) -> None:
+    def attach(self, back: Backend) -> None:
         """Name the back; it needs the core first."""
         self.back = back
 
@@ -77,33 +89,33 @@
         return len(self.calls)
 
     @abstractmethod
-    def act(self, action: api.Action) -> None:
+    def execute_action(self, action: api.Action) -> None:
         """Carry out what the module wants."""
 
-    def undecided(self, event: api.Event) -> None:
+    def handle_decision_failure(self, event: api.Event) -> None:
         """Refuse a call on which the decision failed."""
         if isinstance(event, api.NewCall) and (call := self.by_uid.get(event.call)):
-            self.finish(call, api.Refuse(event.call))
+            self.send_final_answer(call, api.Refuse(event.call))
 
-    def finish(self, call: Call, action: api.Refuse | api.Fail, late: bool = False) -> None:
+    def send_final_answer(self, call: Call, action: api.Refuse | api.Fail, late: bool = False) -> None:
         """Give the final answer; an attempt that is still out is given up first."""
-        if call.state is not State.PENDING:
+        if call.state is not CallState.PENDING:
             return
-        self.settle(call, State.OVER)
+        self.leave_pending(call, CallState.ENDED)
         self.trace("refused" if isinstance(action, api.Refuse) else "failed", call)
-        self.give_up(call, api.Outcome.CALLED_OFF)
-        if self.policies:
+        self.cancel_attempt(call, api.Outcome.CALLED_OFF)
+        if self.plan_provider:
             cell = self.listing.cell_of(call.booker)
-            self.policies.settled(call.plan, False, call.booker, cell, call.outcome)
+            self.plan_provider.final_answer_sent(call.plan, False, call.booker, cell, call.outcome)
         if isinstance(action, api.Refuse):
             self.counters.add("answers.refused")
-            self.figures.count("shed", call.offer.call_class)
-            call.front.refused(call.offer.ref, action.retry_after_us)
+            self.metrics.increment("shed", call.offer.call_class)
+            call.front.send_refusal(call.offer.ref, action.retry_after_us)
         else:
             self.counters.add("answers.failed")
-            self.figures.count("errors", call.offer.call_class)
-            call.front.failed(call.offer.ref, late)
-        self.forget(call)
+            self.metrics.increment("errors", call.offer.call_class)
+            call.front.send_failure(call.offer.ref, late)
+        self.remove_if_finished(call)
 
     def trace(self, what: str, call: Call) -> None:
         """Tell what happens to a call, where that is wanted: structured logs show the fields."""
@@ -111,7 +123,7 @@
             fields = {"call": call.offer.uid, "booker": call.booker, "version": call.plan.version}
             log.debug("%s", what, extra=fields)
 
-    def settle(self, call: Call, state: State) -> None:
+    def leave_pending(self, call: Call, state: CallState) -> None:
         """Leave PENDING, which a call does once."""
         call.state = state
         if call.deadline:
@@ -119,104 +131,106 @@
 
     def when_idle(self, idle: Callable[[], None]) -> None:
         """Call idle once no call is left; those that stand are given the time to come to their end."""
-        self.idle = idle
+        self.on_idle = idle
         self.check_idle()
 
     def hang_up_all(self, leave_standing: bool = False) -> None:
         """Answer what is owed and release what stands, towards both sides, unless that goes on without us."""
         for call in self.calls.values():
-            if call.state is State.PENDING:
-                self.finish(call, api.Refuse(call.offer.uid))
-                self.feed.put(api.Withdrawn(call.offer.uid))  # it may wait in the module for a release
-            elif call.state is State.STANDING and not leave_standing:
-                call.front.released(call.offer.ref, api.Outcome.CUT)
+            if call.state is CallState.PENDING:
+                self.send_final_answer(call, api.Refuse(call.offer.uid))
+                self.event_queue.process(
+                    api.Withdrawn(call.offer.uid)
+                )  # it may wait in the module for a release
+            elif call.state is CallState.ESTABLISHED and not leave_standing:
+                call.front.send_release(call.offer.ref, api.Outcome.CUT)
                 self.hang_up(call)
 
     def check_idle(self) -> None:
         """Tell that no call is left, once, to whoever waits for that."""
-        if self.idle and not self.calls:
-            idle, self.idle = self.idle, None
+        if self.on_idle and not self.calls:
+            idle, self.on_idle = self.on_idle, None
             idle()
 
-    def give_up(self, call: Call, outcome: api.Outcome) -> None:
+    def cancel_attempt(self, call: Call, outcome: api.Outcome) -> None:
         """Give up the attempt that is out, if there is one."""
-        attempt = call.out
-        if attempt is None or attempt.given_up:
+        attempt = call.current_attempt
+        if attempt is None or attempt.cancel_outcome:
             return
         if attempt.unsent:  # no release of it can be in doubt
             outcome = api.Outcome.NO_CONNECTION if outcome is api.Outcome.NO_ANSWER else api.Outcome.NOT_SENT
-        attempt.given_up = outcome
-        if self.back.give_up(attempt):
-            self.close(call, attempt, End(outcome))
+        attempt.cancel_outcome = outcome
+        if self.back.cancel_attempt(attempt):
+            self.close_attempt(call, attempt, AttemptEnd(outcome))
 
     def hang_up(self, call: Call) -> None:
         """Release a call that stands."""
-        if (attempt := call.out) is not None:
-            call.state = State.OVER
+        if (attempt := call.current_attempt) is not None:
+            call.state = CallState.ENDED
             self.back.release(attempt)
-            self.close(call, attempt, End(api.Outcome.SERVED))
-            self.forget(call)
+            self.close_attempt(call, attempt, AttemptEnd(api.Outcome.SERVED))
+            self.remove_if_finished(call)
 
-    def close(self, call: Call, attempt: Attempt, end: End) -> None:
+    def close_attempt(self, call: Call, attempt: Attempt, end: AttemptEnd) -> None:
         """Note the end of an attempt and tell the module."""
         now_us = self.clock.now_us()
-        call.out, call.outcome = None, end.outcome
+        call.current_attempt, call.outcome = None, end.outcome
         if attempt.deadline:
             attempt.deadline.cancel()
         self.counters.add(f"outcomes.{end.outcome.name.lower()}")
-        if self.bounds and end.outcome in (api.Outcome.TURNED_AWAY, api.Outcome.ERROR):
-            self.bounds.refused(attempt.booker)
-        elif self.bounds and end.outcome is api.Outcome.NO_ANSWER:
-            self.bounds.late(attempt.booker)
+        if self.limiter and end.outcome in (api.Outcome.TURNED_AWAY, api.Outcome.ERROR):
+            self.limiter.attempt_refused(attempt.booker)
+        elif self.limiter and end.outcome is api.Outcome.NO_ANSWER:
+            self.limiter.attempt_timed_out(attempt.booker)
         if end.outcome in IN_DOUBT:
-            call.held_until_us = now_us + self.settings.release_wait_us
-        if self.bounds:
-            ended = self.bounds.ended
+            call.release_wait_until_us = now_us + self.settings.release_wait_us
+        if self.limiter:
+            ended = self.limiter.attempt_ended
             self._once_released(call, now_us, lambda: ended(attempt.booker, call.offer))
-        self.feed.put(
+        self.event_queue.process(
             api.AttemptEnded(
                 call=call.offer.uid,
                 attempt=attempt.number,
                 switch=attempt.booker,
                 outcome=end.outcome,
-                took_us=now_us - attempt.sent_us,
-                finished=call.state is State.OVER,
+                took_us=now_us - attempt.decided_us,
+                finished=call.state is CallState.ENDED,
                 processor_full=end.processor_full,
                 no_line=end.no_line,
-                connection_fault=end.spoilt,
+                connection_fault=end.connection_broken,
                 report=end.report,
             )
         )
 
     def _once_released(self, call: Call, now_us: int, tell: Callable[[], None]) -> None:
         """Tell at once, or when a release that is in doubt has had its time: the booker may hold it yet."""
-        if now_us < call.held_until_us:
-            self.clock.at(call.held_until_us, tell)
+        if now_us < call.release_wait_until_us:
+            self.clock.call_at(call.release_wait_until_us, tell)
         else:
             tell()
 
-    def forget(self, call: Call) -> None:
+    def remove_if_finished(self, call: Call) -> None:
         """Keep a call no more, once nothing is owed and nothing is out."""
-        if call.state is State.OVER and call.out is None and self.calls.pop(call.handle):
+        if call.state is CallState.ENDED and call.current_attempt is None and self.calls.pop(call.handle):
             self.by_uid.pop(call.offer.uid, None)
-            self._hold(call.offer.uid, call.held_until_us)
-            if self.idle:
-                self.clock.at(self.clock.now_us(), self.check_idle)
-            if self.policies:
-                self.policies.over(call.plan)
-            if self.bounds:
-                over = self.bounds.over
+            self._hold(call.offer.uid, call.release_wait_until_us)
+            if self.on_idle:
+                self.clock.call_at(self.clock.now_us(), self.check_idle)
+            if self.plan_provider:
+                self.plan_provider.call_ended(call.plan)
+            if self.limiter:
+                over = self.limiter.call_ended
                 self._once_released(call, self.clock.now_us(), lambda: over(call.offer))
-            if call.gate is not None:
-                took_us = self.clock.now_us() - call.offer.taken_us
-                call.gate.ended(call.offer.call_class, call.outcome, call.attempts, took_us)
+            if call.admission_filter is not None:
+                took_us = self.clock.now_us() - call.offer.received_us
+                call.admission_filter.call_ended(call.offer.call_class, call.outcome, call.attempts, took_us)
 
     def _hold(self, uid: str, until_us: int) -> None:
         """Remember an id until the release that is in doubt has had its time."""
         if self.clock.now_us() < until_us:
-            self.held[uid] = until_us
-            self.clock.at(until_us, lambda: self._let_go(uid))
+            self.held_ids[uid] = until_us
+            self.clock.call_at(until_us, lambda: self._let_go(uid))
 
     def _let_go(self, uid: str) -> None:
-        if self.held.get(uid, 0) <= self.clock.now_us():
-            self.held.pop(uid, None)
+        if self.held_ids.get(uid, 0) <= self.clock.now_us():
+            self.held_ids.pop(uid, None)
--- a/bitternbeam/descriptors.py
+++ b/bitternbeam/descriptors.py
@@ -13,35 +13,35 @@
 FILES = 2  # read or written for a moment: the configuration at a reload, the hand-over's record
 LISTENING = 3  # the callers' socket and, where it was inherited, its copy; the admin address
 DISCOVERY = 3  # open, being closed, being made
-UNFORESEEN = 4  # opened by libraries
-FIXED = STANDARD_STREAMS + REACTOR + FILES + LISTENING + DISCOVERY + UNFORESEEN
+LIBRARIES = 4  # opened by libraries
+FIXED = STANDARD_STREAMS + REACTOR + FILES + LISTENING + DISCOVERY + LIBRARIES
 ADMIN_CLOSING = 4  # beside the admin address's own: answered or pushed out, and not closed yet
-LEAST_UPSTREAM = 2
+MIN_UPSTREAM = 2
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorPlan:
     """How many descriptors each part may hold at once."""
 
-    callers: int  # connections from callers
-    callers_closing: int  # beside them: given up or refused, and not closed yet
+    clients: int  # connections from callers
+    clients_closing: int  # beside them: given up or refused, and not closed yet
     admin: int  # connections to the admin address
     upstream: int  # connections to all servers together, those being made and being closed included
 
     @property
     def lingering(self) -> int:
         """How many of the closing ones may wait for their peers' end; the oldest is cut off for more."""
-        return self.callers_closing // 2
+        return self.clients_closing // 2
 
     @property
-    def over_limit(self) -> int:
+    def excess_clients(self) -> int:
         """How many of them may have their requests refused; the others close by the next turn."""
-        return self.callers_closing // 4
+        return self.clients_closing // 4
 
     @property
     def total(self) -> int:
         """All that the process may come to hold."""
-        return FIXED + self.callers + self.callers_closing + self.admin + ADMIN_CLOSING + self.upstream
+        return FIXED + self.clients + self.clients_closing + self.admin + ADMIN_CLOSING + self.upstream
 
 
 def plan_descriptors(descriptors: int) -> DescriptorPlan:
@@ -55,6 +55,6 @@
     left = descriptors - FIXED - admin - ADMIN_CLOSING - closing
     callers = max(-(-descriptors // 3), min(descriptors // 2, left - descriptors // 4))
     upstream = left - callers
-    if upstream < LEAST_UPSTREAM:
+    if upstream < MIN_UPSTREAM:
         raise ValueError(f"{descriptors} descriptors are too few to serve with")
     return DescriptorPlan(callers, closing, admin, upstream)
--- a/bitternbeam/drill.py
+++ b/bitternbeam/drill.py
@@ -13,7 +13,7 @@
 
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
-from bitternbeam.settings import REPORT_FIELDS, WireError, read_settings
+from bitternbeam.settings import REPORT_FIELDS, InputError, read_settings
 
 T = TypeVar("T")
 
@@ -46,13 +46,13 @@
         for part in parts:
             name, equals, value = part.partition("=")
             if not equals or not name:
-                raise WireError(f"part {part!r} is not name=value")
+                raise InputError(f"part {part!r} is not name=value")
             self.values[name] = value
 
     def text(self, name: str) -> str:
         """Return a required value."""
         if self.values.get(name, "") == "":
-            raise WireError(f"value {name!r} is missing")
+            raise InputError(f"value {name!r} is missing")
         return self.values[name]
 
     def integer(self, name: str, absent: int | None = None) -> int:
@@ -63,20 +63,20 @@
         try:
             return int(text)
         except ValueError:
-            raise WireError(f"value {name!r} is not a whole number: {text!r}") from None
+            raise InputError(f"value {name!r} is not a whole number: {text!r}") from None
 
     def flag(self, name: str) -> bool:
         """Return a bool; absent means false on this wire."""
         text = self.values.get(name, "0")
         if text not in ("0", "1"):
-            raise WireError(f"value {name!r} is neither 0 nor 1: {text!r}")
+            raise InputError(f"value {name!r} is neither 0 nor 1: {text!r}")
         return text == "1"
 
     def choice(self, name: str, words: dict[str, T]) -> T:
         """Return what a listed word stands for."""
         text = self.text(name)
         if text not in words:
-            raise WireError(f"value {name!r} is unknown: {text!r}")
+            raise InputError(f"value {name!r} is unknown: {text!r}")
         return words[text]
 
     def report(self) -> api.Report | None:
@@ -90,7 +90,7 @@
             except ValueError:
                 colon = ""
             if not colon:
-                raise WireError(f"load report holds {pair!r}")
+                raise InputError(f"load report holds {pair!r}")
             if name in REPORT_FIELDS and figure >= 0:
                 figures[REPORT_FIELDS[name]] = figure
         return api.Report(**figures) if figures else None
@@ -145,9 +145,9 @@
         try:
             data = b"" if octets == "-" else base64.b64decode(octets, validate=True)
         except ValueError:
-            raise WireError(f"value 'octets' is not base64: {octets!r}") from None
+            raise InputError(f"value 'octets' is not base64: {octets!r}") from None
         return api.PeerMessage(fields.integer("origin_peer"), data)
-    raise WireError(f"unknown message {word!r}")
+    raise InputError(f"unknown message {word!r}")
 
 
 def write_action(who: str, action: api.Action) -> str:
@@ -195,12 +195,12 @@
             self.instances.pop(who, None)
             return []
         if who not in self.instances:
-            raise WireError(f"instance {who!r} was never started")
+            raise InputError(f"instance {who!r} was never started")
         if word == "DIRECTORY_UPDATE":
             kind = fields.choice("mode", KINDS)
             bank = -1 if kind is api.ListKind.FAILED else fields.integer("bank")
             if bank >= 0 and bank not in self.lists:
-                raise WireError(f"list {bank} was never given")
+                raise InputError(f"list {bank} was never given")
             event: api.Event = api.ListEvent(kind, self.lists[bank] if bank >= 0 else ())
         else:
             event = read_event(word, fields)
@@ -210,7 +210,7 @@
         """Start an instance; its settings run to the end of the line."""
         head, mark, text = rest.partition("params=")
         if not mark:
-            raise WireError("value 'params' is missing")
+            raise InputError("value 'params' is missing")
         fields = Fields(head.split())
         who = fields.text("who")
         self.instances[who] = Controller(read_settings(text), fields.integer("entropy"))
@@ -228,7 +228,7 @@
     """Read a line of a list."""
     word, _, rest = line.partition(" ")
     if word != "ENTRY":
-        raise WireError(f"the list is short: found {line!r}")
+        raise InputError(f"the list is short: found {line!r}")
     fields = Fields(rest.split(" "))
     return api.SwitchEntry(
         switch=fields.text("switch"),
@@ -260,13 +260,13 @@
             word, _, rest = text.partition(" ")
             if word == "ROUND":
                 if now_us is not None:
-                    raise WireError("a batch began inside a batch")
+                    raise InputError("a batch began inside a batch")
                 fields = Fields(rest.split(" "))
                 now_us, seq, reply = fields.integer("moment_us"), fields.text("seq"), []
             elif word == "":
                 continue
             elif now_us is None:
-                raise WireError(f"message {word!r} outside a batch")
+                raise InputError(f"message {word!r} outside a batch")
             elif word == "FLUSH":
                 sink.write("\n".join([*reply, f"READY seq={seq}"]) + "\n")
                 sink.flush()
@@ -274,8 +274,8 @@
             else:
                 reply.extend(host.handle_line(now_us, text, lines))
         if now_us is not None:
-            raise WireError("the input ended inside a batch")
-    except (WireError, UnicodeDecodeError) as error:
+            raise InputError("the input ended inside a batch")
+    except (InputError, UnicodeDecodeError) as error:
         trouble.write(f"bitternbeam: line {number}: {error}: {line[:200]}\n")
         return 1
     return 0
--- a/bitternbeam/fields.py
+++ b/bitternbeam/fields.py
@@ -6,21 +6,21 @@
 import math
 from typing import Any, NoReturn
 
-LARGEST = 1e15  # of any number: as microseconds, thirty years
+MAX_ABSOLUTE = 1e15  # of any number: as microseconds, thirty years
 
 
 class FieldError(ValueError):
     """A value that is missing, of the wrong type or out of range; the text names its key."""
 
 
-def _no_number(text: str) -> NoReturn:
+def _reject_constant(text: str) -> NoReturn:
     raise ValueError(f"{text} is not a number")
 
 
 def parse(text: str) -> Any:
     """Parse JSON; NaN and the infinities, which JSON has not, are refused. Raises ValueError."""
     try:
-        return json.loads(text, parse_constant=_no_number)
+        return json.loads(text, parse_constant=_reject_constant)
     except RecursionError:
         raise ValueError("nested too deeply") from None
 
@@ -34,7 +34,7 @@
         self.raw: dict[str, Any] = raw
         self.path = path
 
-    def key(self, name: str) -> str:
+    def full_key(self, name: str) -> str:
         """Return the whole path of a key."""
         return f"{self.path}.{name}" if self.path else name
 
@@ -42,46 +42,46 @@
         if name in self.raw:
             return self.raw[name]
         if default is None:
-            raise FieldError(f"'{self.key(name)}' is missing")
+            raise FieldError(f"'{self.full_key(name)}' is missing")
         return default
 
-    def _wrong(self, name: str, value: object, wanted: str) -> NoReturn:
+    def _raise_wrong_form(self, name: str, value: object, wanted: str) -> NoReturn:
         shown = json.dumps(value)
         shown = shown if len(shown) <= 40 else shown[:37] + "..."
-        raise FieldError(f"'{self.key(name)}' has the wrong form: {shown} is not {wanted}")
+        raise FieldError(f"'{self.full_key(name)}' has the wrong form: {shown} is not {wanted}")
 
-    def has(self, name: str) -> bool:
+    def contains(self, name: str) -> bool:
         """Tell whether a key is there."""
         return name in self.raw
 
-    def fields(self, name: str, default: dict[str, Any] | None = None) -> Fields:
+    def nested(self, name: str, default: dict[str, Any] | None = None) -> Fields:
         """Return an object."""
-        return Fields(self._get(name, default), self.key(name))
+        return Fields(self._get(name, default), self.full_key(name))
 
     def array(self, name: str, default: list[Any] | None = None) -> list[Any]:
         """Return an array."""
         value = self._get(name, default)
         if not isinstance(value, list):
-            self._wrong(name, value, "an array")
+            self._raise_wrong_form(name, value, "an array")
         return value
 
     def objects(self, name: str, default: list[Any] | None = None) -> list[Fields]:
         """Return an array of objects."""
         values = self.array(name, default)
-        return [Fields(value, f"{self.key(name)}[{index}]") for index, value in enumerate(values)]
+        return [Fields(value, f"{self.full_key(name)}[{index}]") for index, value in enumerate(values)]
 
     def text(self, name: str, default: str | None = None) -> str:
         """Return a string."""
         value = self._get(name, default)
         if not isinstance(value, str):
-            self._wrong(name, value, "a string")
+            self._raise_wrong_form(name, value, "a string")
         return value
 
-    def flag(self, name: str, default: bool | None = None) -> bool:
+    def boolean(self, name: str, default: bool | None = None) -> bool:
         """Return true or false."""
         value = self._get(name, default)
         if not isinstance(value, bool):
-            self._wrong(name, value, "true or false")
+            self._raise_wrong_form(name, value, "true or false")
         return value
 
     def number(
@@ -89,35 +89,35 @@
         name: str,
         default: float | None = None,
         *,
-        least: float = -LARGEST,
+        minimum: float = -MAX_ABSOLUTE,
         above: float | None = None,
-        most: float = LARGEST,
+        maximum: float = MAX_ABSOLUTE,
     ) -> float:
         """Return a number from least (or just above `above`) to most."""
         value = self._get(name, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            self._wrong(name, value, "a number")
+            self._raise_wrong_form(name, value, "a number")
         if isinstance(value, float) and not math.isfinite(value):
-            self._wrong(name, str(value), "a number")
+            self._raise_wrong_form(name, str(value), "a number")
         if above is not None and value <= above:
-            raise FieldError(f"'{self.key(name)}' must be above {above:g}, not {value}")
-        if value < least:
-            raise FieldError(f"'{self.key(name)}' must be at least {least:g}, not {value}")
-        if value > most:
-            raise FieldError(f"'{self.key(name)}' must be at most {most:g}")
+            raise FieldError(f"'{self.full_key(name)}' must be above {above:g}, not {value}")
+        if value < minimum:
+            raise FieldError(f"'{self.full_key(name)}' must be at least {minimum:g}, not {value}")
+        if value > maximum:
+            raise FieldError(f"'{self.full_key(name)}' must be at most {maximum:g}")
         return value
 
-    def whole(
+    def integer(
         self,
         name: str,
         default: int | None = None,
         *,
-        least: float = -LARGEST,
+        minimum: float = -MAX_ABSOLUTE,
         above: float | None = None,
-        most: float = LARGEST,
+        maximum: float = MAX_ABSOLUTE,
     ) -> int:
         """Return a whole number in the same way."""
-        value = self.number(name, default, least=least, above=above, most=most)
+        value = self.number(name, default, minimum=minimum, above=above, maximum=maximum)
         if value != int(value):
-            self._wrong(name, value, "a whole number")
+            self._raise_wrong_form(name, value, "a whole number")
         return int(value)
--- a/bitternbeam/fleet/bounds.py
+++ b/bitternbeam/fleet/bounds.py
@@ -134,12 +134,12 @@
 
     # From the core.
 
-    def dry(self, offer: object, now_us: int) -> frozenset[str]:
+    def exhausted_bookers(self, offer: object, now_us: int) -> frozenset[str]:
         """Return the bookers whose share is used up."""
         period_us = self.terms.period_us
         return frozenset(name for name, one in self.buckets.items() if not one.holds(period_us, now_us))
 
-    def offered(self, _offer: object, now_us: int) -> int | None:
+    def admit(self, _offer: object, now_us: int) -> int | None:
         """Take an offer, or turn it away before any attempt, to come again when it likes.
 
         Where shares are published they bound what is sent; the throttle is for when nobody leads.
@@ -147,7 +147,7 @@
         self.offers += 1
         return None if self.led or not self.throttle.turns_away(now_us) else 0
 
-    def may_send(self, booker: str, retry: bool, _offer: object, now_us: int) -> str:
+    def try_send(self, booker: str, retry: bool, _offer: object, now_us: int) -> str:
         """Return why an attempt may not go out, '' if it may; a retry takes from the budget."""
         bucket = self.buckets.get(booker)
         if bucket is not None and not bucket.holds(self.terms.period_us, now_us):
@@ -165,30 +165,30 @@
         self._count(booker, 0)
         return ""
 
-    def unsent(self, booker: str, _offer: object) -> None:
+    def cancel_send(self, booker: str, _offer: object) -> None:
         """Take back a send that was barred elsewhere; a retry's place in the budget stays taken."""
         self.counts[booker][0] -= 1
         bucket = self.buckets.get(booker)
         if bucket is not None and bucket.rate is not None:
             bucket.tokens += 1
 
-    def answered(self, booker: str, now_us: int) -> None:
+    def attempt_answered(self, booker: str, now_us: int) -> None:
         """Note an attempt that stands."""
         self._count(booker, 1)
         self.throttle.accepted(now_us)
 
-    def refused(self, booker: str) -> None:
+    def attempt_refused(self, booker: str) -> None:
         """Note an attempt that was turned away, or an error."""
         self._count(booker, 2)
 
-    def late(self, booker: str) -> None:
+    def attempt_timed_out(self, booker: str) -> None:
         """Note an attempt that was not answered in time."""
         self._count(booker, 3)
 
-    def ended(self, booker: str, _offer: object) -> None:
+    def attempt_ended(self, booker: str, _offer: object) -> None:
         """Nothing here is held by an attempt."""
 
-    def over(self, _offer: object) -> None:
+    def call_ended(self, _offer: object) -> None:
         """Nothing here is held by an offer."""
 
     def _count(self, booker: str, what: int) -> None:
--- a/bitternbeam/mapped.py
+++ b/bitternbeam/lmdb_files.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-def cut_short(env: Any, file: Path) -> str:
+def describe_truncation(env: Any, file: Path) -> str:
     """Return how much of an environment's file is missing, as `4096 bytes of 8192`; empty: nothing is.
 
     Danger: LMDB reads its file as memory; a page that is not there ends the process with SIGBUS.
--- a/bitternbeam/logs.py
+++ b/bitternbeam/logs.py
@@ -15,7 +15,7 @@
 FIELDS = ("call", "booker", "version", "caller", "key")
 
 
-def set_up(form: str, level: str, sink: TextIO | None = None) -> None:
+def configure_logging(form: str, level: str, sink: TextIO | None = None) -> None:
     """Send all logs to a stream (standard error) as `plain` or `json`."""
     before: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
--- a/bitternbeam/memory.py
+++ b/bitternbeam/memory.py
@@ -14,27 +14,27 @@
 YOUNG, MIDDLE, OLD = 700, 10, 1_000_000  # allocations, then collections of the generation before
 
 
-def settle() -> None:
+def freeze_heap() -> None:
     """Set what is there aside: it has come to stay, or its reference count will free it."""
     gc.set_threshold(YOUNG, MIDDLE, OLD)
     gc.freeze()
 
 
 @contextmanager
-def building() -> Iterator[None]:
+def collection_paused() -> Iterator[None]:
     """Collect nothing while something large is built at the start, and set it aside."""
     gc.disable()
     try:
         yield
     finally:
-        settle()
+        freeze_heap()
         gc.enable()
 
 
-def at_work(busy: bool) -> None:
+def pause_collection(busy: bool) -> None:
     """Collect nothing while a version is worked on: it makes very many objects, and all of them stay."""
     if busy:
         gc.disable()
     else:
-        settle()
+        freeze_heap()
         gc.enable()
--- a/bitternbeam/figures/counts.py
+++ b/bitternbeam/metrics/counts.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class RequestCounts:
     """The counts of one core; classes outside the settings are not counted, so no caller adds a key."""
 
     classes: tuple[str, ...]
@@ -29,14 +29,14 @@
         for kind in KINDS:
             setattr(self, kind, dict.fromkeys(self.classes, 0))
 
-    def count(self, kind: str, call_class: str) -> None:
+    def increment(self, kind: str, call_class: str) -> None:
         """Add one to kind ('ok', 'shed', 'errors' or 'tries') of a class; an unknown class is passed over."""
         counts: dict[str, int] = getattr(self, kind)
         if call_class in counts:
             counts[call_class] += 1
 
 
-def summed(parts: Iterable[Figures]) -> dict[str, dict[str, int]]:
+def sum_counts(parts: Iterable[RequestCounts]) -> dict[str, dict[str, int]]:
     """Return the counts of several cores added up: {kind: {class: count}}."""
     total: dict[str, dict[str, int]] = {kind: {} for kind in KINDS}
     for figures in parts:
--- a/bitternbeam/figures/pool.py
+++ b/bitternbeam/metrics/pool.py
@@ -9,7 +9,7 @@
 from bitternbeam.decision.state import Switch
 
 
-def avoided(switches: Mapping[str, Switch], listed: Mapping[str, SwitchState]) -> int:
+def count_ejected(switches: Mapping[str, Switch], listed: Mapping[str, SwitchState]) -> int:
     """Count the listed bookers that get no ordinary traffic: draining, suspect, or failing what others take.
 
     A suspect booker gets single trial set-ups and a failing one is the last resort (decision/routing.py);
--- a/bitternbeam/net/consul.py
+++ b/bitternbeam/net/consul.py
@@ -158,13 +158,15 @@
         if hasattr(result, "getErrorMessage"):
             self.counters.add("consul.errors")
             self.index = 0  # what was missed is asked for whole
-            wait_us = min(self.limits.consul_retry_us << min(self.failures, 16), self.limits.consul_most_us)
+            wait_us = min(
+                self.limits.consul_retry_us << min(self.failures, 16), self.limits.consul_max_backoff_us
+            )
             self.failures += 1
             self.later = self.deadlines.after(wait_us, self._ask)
             return
         self.failures = 0
         # One that answers without waiting must not be asked in a tight loop.
-        self.later = self.deadlines.after(self.limits.consul_least_us, self._ask)
+        self.later = self.deadlines.after(self.limits.consul_min_interval_us, self._ask)
 
     def _health(self, reply: tuple[int, list[Any]]) -> Deferred[Any] | None:
         index, items = reply
--- a/bitternbeam/net/control/client.py
+++ b/bitternbeam/net/control/client.py
@@ -132,7 +132,7 @@
         self.place += 1
         self.failures += 1
         rounds = (self.failures - 1) // len(self.addresses)
-        most_us = min(self.limits.control_retry_us << min(rounds, 16), self.limits.control_retry_most_us)
+        most_us = min(self.limits.control_retry_us << min(rounds, 16), self.limits.control_max_backoff_us)
         if self.again:
             self.again.cancel()
         self.again = self.deadlines.after(int(most_us * self.random.uniform(0.5, 1.0)), self._connect)
--- a/bitternbeam/net/platform/back.py
+++ b/bitternbeam/net/platform/back.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.core.control import CallControl
 from bitternbeam.counters import Counters
 from bitternbeam.decision.interface import Outcome, SwitchState
@@ -93,7 +93,7 @@
         if not pool.connections:
             pool.requests.cut_all()
             pool.close()
-        self.deadlines.after(self.limits.booker_lost_us, lambda: self._remove_pool(pool))
+        self.deadlines.after(self.limits.booker_removal_grace_us, lambda: self._remove_pool(pool))
 
     def _remove_pool(self, pool: BookerPool) -> None:
         pool.requests.cut_all()
@@ -112,7 +112,7 @@
         """Send a set-up."""
         pool = self.pools.get(attempt.booker)
         if pool is None or pool.closed or pool.retired:
-            self.core.ended(attempt, End(Outcome.NO_CONNECTION))
+            self.core.attempt_ended(attempt, AttemptEnd(Outcome.NO_CONNECTION))
             return
         pool.set_up(attempt)
 
@@ -121,10 +121,10 @@
         if pool := self.pools.get(booker):
             pool.probe()
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Stop waiting for a set-up."""
         if leg := self.requests.get(attempt.offer.uid):
-            leg.owner.cancel(leg, unanswered=attempt.given_up is Outcome.NO_ANSWER)
+            leg.owner.cancel(leg, unanswered=attempt.cancel_outcome is Outcome.NO_ANSWER)
         return True
 
     def release(self, attempt: Attempt) -> None:
--- a/bitternbeam/net/platform/booker_connection.py
+++ b/bitternbeam/net/platform/booker_connection.py
@@ -126,7 +126,7 @@
         self.counters.add(f"{self.name}.parted.{why}")
         self.owner.connection_lost(self)
         self.transport.loseWriteConnection()
-        self.deadlines.after(self.limits.booker_aside_us, lambda: self.drop(why))
+        self.deadlines.after(self.limits.booker_quarantine_us, lambda: self.drop(why))
 
     def invalid_line_received(self, line: bytes) -> None:
         """Take a line that is no JSON object: the next one may be a release."""
--- a/bitternbeam/net/platform/booker_pool.py
+++ b/bitternbeam/net/platform/booker_pool.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.decision.interface import Outcome, Report
 from bitternbeam.net.platform.booker_connection import BookerConnection, UpstreamRequest
 from bitternbeam.net.platform.connection_pool import BookerEndpoint, ConnectionPool
@@ -52,11 +52,12 @@
         """
         now_us = self.context.deadlines.now_us()
         told = (
-            report == self.last_report and now_us - self.last_report_us < self.context.limits.booker_told_us
+            report == self.last_report
+            and now_us - self.last_report_us < self.context.limits.booker_report_repeat_us
         )
         if not self.retired and not told:
             self.last_report, self.last_report_us = report, now_us
-            self.context.core.reported(self.endpoint.booker, report)
+            self.context.core.report_received(self.endpoint.booker, report)
 
     def probe(self) -> None:
         """Ask for a report, one at a time; where no connection is open there is nobody to ask."""
@@ -77,7 +78,7 @@
         if report is None:
             self.context.counters.add("booker.probes_without_report")
         else:
-            self.context.core.probed(self.name, took_us, report)
+            self.context.core.probe_ended(self.name, took_us, report)
 
     def _probe_timed_out(self, asked_us: int) -> None:
         if self.probe_sent_us != asked_us:
@@ -86,7 +87,7 @@
         self.context.counters.add("booker.probes_lost")
         # Danger: a probe is lost with its connection too; that of a booker which is heard tells no wait.
         if self.last_received_us < asked_us and not self.retired:
-            self.context.core.probed(self.name, self.context.limits.booker_probe_us, None)
+            self.context.core.probe_ended(self.name, self.context.limits.booker_probe_us, None)
 
     def set_up(self, attempt: Attempt) -> None:
         """Send a set-up, or let it wait for the connection that is being made."""
@@ -95,7 +96,7 @@
         if self.connections:
             self.send(leg)
             self.open_spare()
-        elif self.early_losses <= self.context.limits.booker_stillborn:
+        elif self.early_losses <= self.context.limits.booker_early_resets:
             self.connect()
 
     def cancel(self, leg: UpstreamRequest, unanswered: bool = False) -> None:
@@ -104,9 +105,9 @@
         connection = leg.connection or (self.least_loaded() if leg.established and self.connections else None)
         if connection is None or not connection.is_open:
             return
-        uid, sent_us = leg.attempt.offer.uid, leg.attempt.sent_us
+        uid, sent_us = leg.attempt.offer.uid, leg.attempt.decided_us
         connection.send({"kind": "stop", "uid": uid, "meta": {}, "reason": CAUSE_NORMAL})
-        silent_us = self.context.deadlines.now_us() - self.context.limits.booker_overtaken_us
+        silent_us = self.context.deadlines.now_us() - self.context.limits.booker_skipped_answer_us
         if unanswered and connection.last_received_us < sent_us < silent_us and not connection.pending:
             # Danger: one that went silent looks idle, and would take set-up after set-up.
             self.retire_connection(connection, "silent")
@@ -123,8 +124,8 @@
             self.context.counters.add("booker.late_answers")
             return
         leg.established = True
-        self.latest_answered_sent_us = max(self.latest_answered_sent_us, leg.attempt.sent_us)
-        if not self.context.core.stood(leg.attempt, body):
+        self.latest_answered_sent_us = max(self.latest_answered_sent_us, leg.attempt.decided_us)
+        if not self.context.core.attempt_answered(leg.attempt, body):
             self.cancel(leg)
         self._retire_overtaken()
 
@@ -134,10 +135,10 @@
         A booker has one line: it answers in the order in which set-ups came. Danger: the answer to one
         that a much later one has overtaken will not come, and waiting for it costs its whole time.
         """
-        before_us = self.latest_answered_sent_us - self.context.limits.booker_overtaken_us
+        before_us = self.latest_answered_sent_us - self.context.limits.booker_skipped_answer_us
         for connection in self.connections[:]:
             oldest = next(iter(connection.pending.values()), None)
-            if oldest is not None and oldest.attempt.sent_us < before_us:
+            if oldest is not None and oldest.attempt.decided_us < before_us:
                 self.retire_connection(connection, "overtaken")
 
     def call_stopped(self, connection: BookerConnection, message: Message) -> None:
@@ -161,4 +162,6 @@
         no_line = outcome is Outcome.TURNED_AWAY and note == "no_path"
         # Danger: when lines are lost a booker cuts many calls at once, and that it says so shows it is alive.
         told_cut = outcome is Outcome.CUT
-        self.requests.finish(leg, End(outcome, full, no_line, read_report(meta.get("load")), spoilt=told_cut))
+        self.requests.finish(
+            leg, AttemptEnd(outcome, full, no_line, read_report(meta.get("load")), connection_broken=told_cut)
+        )
--- a/bitternbeam/net/platform/client_connection.py
+++ b/bitternbeam/net/platform/client_connection.py
@@ -90,7 +90,7 @@
     @property
     def poll_due(self) -> bool:
         """Tell whether its client may have left meanwhile, so that a look is due before an attempt."""
-        return self.deadlines.now_us() - self._polled_us >= self.limits.client_look_us
+        return self.deadlines.now_us() - self._polled_us >= self.limits.client_recheck_us
 
     # The transport's events.
 
--- a/bitternbeam/net/platform/connection_pool.py
+++ b/bitternbeam/net/platform/connection_pool.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectBindError
 from twisted.python.failure import Failure
 
-from bitternbeam.core.calls import End
+from bitternbeam.core.calls import AttemptEnd
 from bitternbeam.decision.interface import Outcome, Report, SwitchState
 from bitternbeam.net.connect import connect
 from bitternbeam.net.platform.booker_connection import BookerConnection, UpstreamRequest
@@ -141,7 +141,7 @@
         self.connecting -= 1
         deadlines, limits = self.context.deadlines, self.context.limits
         now_us = deadlines.now_us()
-        self.no_spare_until_us = now_us + limits.booker_full_us
+        self.no_spare_until_us = now_us + limits.booker_spare_retry_us
         self.context.counters.add("booker.no_connection")
         if failure.check(NoDescriptorError, ConnectBindError):
             self._connect_without_descriptor()
@@ -180,7 +180,7 @@
         if self.connections or self.connecting:
             return
         for leg in self.requests.waiting():
-            self.requests.finish(leg, End(Outcome.NO_CONNECTION))
+            self.requests.finish(leg, AttemptEnd(Outcome.NO_CONNECTION))
         if not self.closed and not self.retired:
             self._schedule_reconnect()
 
@@ -200,7 +200,7 @@
                     leg.connection = None
                 else:
                     # If its process died, that shows at once: the next connection is refused.
-                    self.requests.finish(leg, End(Outcome.CUT, spoilt=True))
+                    self.requests.finish(leg, AttemptEnd(Outcome.CUT, connection_broken=True))
         self.early_losses += not connection.has_received
         if self.retired and not self.connections and not self.closed:
             self.requests.cut_all()
@@ -208,7 +208,7 @@
         elif not self.closed:
             # Danger: a release may have gone down with it, whose call would stand for ever. The booker sends
             # it once more on the next connection that is opened, so one is, however many are left.
-            if self.early_losses <= self.context.limits.booker_stillborn:
+            if self.early_losses <= self.context.limits.booker_early_resets:
                 self.connect()
             elif not self.connecting:
                 # Danger: a peer that accepts and resets would be called again as fast as it can answer.
@@ -257,4 +257,6 @@
         for uid in connection.pending:
             connection.send({"kind": "stop", "uid": uid, "meta": {}, "reason": CAUSE_NORMAL})
         self.connection_lost(connection)
-        self.context.deadlines.after(self.context.limits.booker_aside_us, lambda: connection.half_close(why))
+        self.context.deadlines.after(
+            self.context.limits.booker_quarantine_us, lambda: connection.half_close(why)
+        )
--- a/bitternbeam/net/platform/discovery/server_list.py
+++ b/bitternbeam/net/platform/discovery/server_list.py
@@ -25,5 +25,5 @@
         places = [
             BookerEndpoint(one.server, one.host, one.port, one.state, one.started_us) for one in servers
         ]
-        self.core.listed(kind, entries)
+        self.core.update_bookers(kind, entries)
         self.back.update_endpoints(places, complete=kind is not ListKind.CHANGES)
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -223,7 +223,7 @@
 
     # The core's Front.
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         """Pass on an answer with the server's description."""
         request = self.requests.get(ref)
         if request is None or request.finished:
@@ -233,11 +233,11 @@
             connection.send({"kind": "running", "uid": request.uid, "meta": {}, "body": body})
             self.releases.send_waiting(connection)
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         """Turn a client away."""
         self._send_final_stop(ref, CAUSE_REFUSED, stay_away_us)
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         """Tell a client of a failure."""
         self._send_final_stop(ref, CAUSE_FAILURE, 0)
 
@@ -250,10 +250,10 @@
         if connection := self._remove_open_request(request):
             connection.send_stop(request.uid, cause, stay_away_us)
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         """Say nothing: progress means nothing on this wire."""
 
-    def released(self, ref: int, outcome: Outcome) -> None:
+    def send_release(self, ref: int, outcome: Outcome) -> None:
         """Tell a client that its call is over, on its connection, another, or the next that is served."""
         request = self.requests.get(ref)
         if request is None or request.finished:
@@ -263,7 +263,7 @@
         cause = CAUSE_NORMAL if outcome is Outcome.SERVED else CAUSE_FAILURE
         self.releases.send(self._remove_call(request), request.uid, cause)
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         """Read what the client has sent up to now, and tell whether it still waits for its answer."""
         request = self.requests.get(ref)
         if request is None:
--- a/bitternbeam/net/platform/idle_connections.py
+++ b/bitternbeam/net/platform/idle_connections.py
@@ -71,7 +71,7 @@
         A release may go elsewhere, a request in the middle of its sending may not.
         """
         silent = next(iter(self.unused), None)
-        young_us = self.deadlines.now_us() - self.limits.client_young_us
+        young_us = self.deadlines.now_us() - self.limits.client_new_us
         if silent is not None and silent.idle_since_us < young_us:
             return silent
         orders = (self.idle, self.unused, self.with_calls, self.with_partial_message)
@@ -106,10 +106,10 @@
         if due_us <= self.deadlines.now_us():
             connection.close(self._close_cause(connection))
             return
-        connection.idle_timer = self.deadlines.at(due_us, lambda: self._check_idle(connection))
+        connection.idle_timer = self.deadlines.call_at(due_us, lambda: self._check_idle(connection))
 
     def _idle_timeout_us(self, connection: ClientConnection) -> int:
-        return self.limits.client_idle_us if connection.has_been_used else self.limits.client_silent_us
+        return self.limits.client_idle_us if connection.has_been_used else self.limits.client_first_request_us
 
     def _idle_deadline_us(self, connection: ClientConnection) -> int:
         """Return when a connection has been idle for too long, as it is used now."""
@@ -118,7 +118,7 @@
             return self.deadlines.now_us() + wait_us
         due_us = connection.idle_since_us + wait_us
         if connection.has_partial_message:
-            due_us = max(due_us, connection.partial_since_us + self.limits.client_silent_us)
+            due_us = max(due_us, connection.partial_since_us + self.limits.client_first_request_us)
         return due_us
 
     @staticmethod
@@ -142,10 +142,10 @@
     def add(self, connection: ClientConnection) -> None:
         """Take a connection; past the limit the oldest makes room, with what has come on it refused."""
         connection.refuse_new_requests(CloseCause.OVER_LIMIT)
-        if len(self.connections) >= self.limits.client_over_limit:
+        if len(self.connections) >= self.limits.client_excess_connections:
             self._refuse_and_close(next(iter(self.connections)))
         self.connections[connection] = None
-        wait_us = self.limits.client_young_us
+        wait_us = self.limits.client_new_us
         connection.idle_timer = self.deadlines.after(wait_us, lambda: self._refuse_and_close(connection))
 
     def remove(self, connection: ClientConnection) -> None:
--- a/bitternbeam/net/platform/inherited_calls.py
+++ b/bitternbeam/net/platform/inherited_calls.py
@@ -22,7 +22,7 @@
         self.counters = counters
         self.own_uids: set[str] | None = set()  # sent by this process; None: it is young no more
         self.on_release: Callable[[str, int], None] = lambda _uid, _cause: None
-        deadlines.after(limits.strangers_us, self.expire)
+        deadlines.after(limits.orphaned_calls_us, self.expire)
 
     def expire(self) -> None:
         """Hand on no more: what stood before this process is over."""
--- a/bitternbeam/net/platform/releases.py
+++ b/bitternbeam/net/platform/releases.py
@@ -27,7 +27,7 @@
             connection.send_stop(uid, cause)
             return
         self.waiting[uid] = cause
-        if len(self.waiting) > self.limits.stray_releases:
+        if len(self.waiting) > self.limits.undelivered_releases:
             self.waiting.popitem(last=False)
             self.counters.add("client.releases_dropped")
 
--- a/bitternbeam/net/platform/request_parsing.py
+++ b/bitternbeam/net/platform/request_parsing.py
@@ -55,11 +55,11 @@
         call_class=call_class,
         cell=int(cell),
         left_us=int(left_ms * 1000),
-        taken_us=arrived_us,
+        received_us=arrived_us,
         number=key,
         body=body,
         ref=ref,
         redial=extras.get("retry", 0) > 0,
         again=extras.get("again", 0) > 0,
-        caller=client,
+        client=client,
     )
--- a/bitternbeam/net/platform/upstream_requests.py
+++ b/bitternbeam/net/platform/upstream_requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.decision.interface import Outcome
 from bitternbeam.net.platform.booker_connection import BookerConnection, ConnectionOwner, UpstreamRequest
 from bitternbeam.net.platform.upstream_context import UpstreamContext
@@ -39,21 +39,24 @@
     def send(self, connection: BookerConnection, leg: UpstreamRequest) -> None:
         """Send a set-up that the rules allow at this moment."""
         attempt = leg.attempt
-        waited_us = self.context.deadlines.now_us() - attempt.sent_us
+        waited_us = self.context.deadlines.now_us() - attempt.decided_us
         leg.connection = connection
         connection.pending[attempt.offer.uid] = leg
-        meta = {"class": attempt.offer.call_class, "left": str(max(1, (attempt.left_us - waited_us) // 1000))}
+        meta = {
+            "class": attempt.offer.call_class,
+            "left": str(max(1, (attempt.timeout_us - waited_us) // 1000)),
+        }
         if attempt.offer.number:
             meta["key"] = attempt.offer.number
         connection.send_now(
             {"kind": "launch", "uid": attempt.offer.uid, "meta": meta, "body": attempt.offer.body}
         )
-        self.context.core.written(attempt)
+        self.context.core.attempt_written(attempt)
 
-    def finish(self, leg: UpstreamRequest, end: End) -> None:
+    def finish(self, leg: UpstreamRequest, end: AttemptEnd) -> None:
         """Tell the core of an end, once."""
         if self.remove(leg):
-            self.context.core.ended(leg.attempt, end)
+            self.context.core.attempt_ended(leg.attempt, end)
 
     def remove(self, leg: UpstreamRequest) -> bool:
         """Take an attempt out; False if it is out already."""
@@ -66,8 +69,8 @@
     def finish_waiting(self, outcome: Outcome, since_us: int | None = None) -> None:
         """End those that wait for a connection, or have since then: they never ran; requests go on."""
         for leg in self.waiting():
-            if since_us is None or leg.attempt.sent_us <= since_us:
-                self.finish(leg, End(outcome))
+            if since_us is None or leg.attempt.decided_us <= since_us:
+                self.finish(leg, AttemptEnd(outcome))
 
     def recheck_waiting(self) -> None:
         """End those that wait for a connection and that the rules, or the list, allow no more."""
@@ -78,17 +81,17 @@
         """Ask again whether a set-up may be sent, which may have waited long; one that may not is ended."""
         allowed = self.context.core.may_write(leg.attempt)
         if not allowed:
-            self.finish(leg, End(Outcome.NOT_SENT))
+            self.finish(leg, AttemptEnd(Outcome.NOT_SENT))
         return allowed
 
     def cut_all(self) -> None:
         """End whatever was there."""
         self.finish_waiting(Outcome.NOT_SENT)
         for leg in self.all():
-            self.finish(leg, End(Outcome.CUT))
+            self.finish(leg, AttemptEnd(Outcome.CUT))
 
     def cut_sent_before(self, started_us: int) -> None:
         """End what was set up before a fresh start: the process that held it is gone."""
         for leg in self.all():
-            if leg.attempt.sent_us < started_us and not leg.attempt.unsent:
-                self.finish(leg, End(Outcome.CUT))
+            if leg.attempt.decided_us < started_us and not leg.attempt.unsent:
+                self.finish(leg, AttemptEnd(Outcome.CUT))
--- a/bitternbeam/net/sip/back.py
+++ b/bitternbeam/net/sip/back.py
@@ -5,7 +5,7 @@
 import secrets
 from dataclasses import dataclass, field
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.core.control import CallControl
 from bitternbeam.counters import Counters
 from bitternbeam.decision.interface import Outcome, Report
@@ -67,7 +67,7 @@
         """Send an INVITE of our own: new Call-ID and tag, the caller's description unchanged."""
         hop = self.hops.get(attempt.booker)
         if hop is None:
-            self.core.ended(attempt, End(Outcome.NO_CONNECTION))
+            self.core.attempt_ended(attempt, AttemptEnd(Outcome.NO_CONNECTION))
             return
         leg = Leg(attempt, hop)
         offer, transports = attempt.offer, self.transactions.transports
@@ -82,23 +82,23 @@
             ("max-forwards", "70"),
             ("contact", self.settings.contact(transports, hop)),
             (self.settings.class_header.lower(), offer.call_class),
-            ("expires", str(max(1, -(-attempt.left_us // 1_000_000)))),
+            ("expires", str(max(1, -(-attempt.timeout_us // 1_000_000)))),
         ]
         kind, body = offer.body if isinstance(offer.body, tuple) else ("", b"")
         if kind:
             headers.append(("content-type", kind))
         request = Message("INVITE", f"sip:{offer.number}@{where}", headers=headers, body=body)
-        self.legs[attempt.call] = leg
+        self.legs[attempt.call_handle] = leg
         leg.invite = self.transactions.request(request, hop, self)
         self.by_invite[leg.invite] = leg
-        self.core.written(attempt)
+        self.core.attempt_written(attempt)
 
     def probe(self, booker: str) -> None:
         """Ask nothing: on this wire no answer carries a report."""
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Cancel an INVITE as soon as that is allowed; its end is told when it has come (9.1)."""
-        leg = self.legs.get(attempt.call)
+        leg = self.legs.get(attempt.call_handle)
         if leg is None or leg.attempt is not attempt:
             return True
         leg.cancelling = True
@@ -114,7 +114,7 @@
 
     def release(self, attempt: Attempt) -> None:
         """End a call that stands."""
-        leg = self.legs.pop(attempt.call, None)
+        leg = self.legs.pop(attempt.call_handle, None)
         if leg is not None and leg.dialog is not None:
             leg.ended = True
             self._bye(leg.dialog)
@@ -131,7 +131,7 @@
     def responded(self, transaction: ClientTransaction, response: Message) -> None:
         """Take a response to an INVITE; those to a CANCEL or BYE change nothing."""
         if response.status >= 200 and (closed := self.closing.pop(transaction, None)):
-            self._end(closed, End(Outcome.CALLED_OFF))
+            self._end(closed, AttemptEnd(Outcome.CALLED_OFF))
         leg = self.by_invite.get(transaction)
         if leg is None:
             return
@@ -139,14 +139,14 @@
             if leg.cancelling:
                 self._cancel(leg)
             elif response.status > 100:
-                self.core.progressed(leg.attempt)
+                self.core.attempt_progressed(leg.attempt)
         elif response.status < 300:
             self._stands(leg, transaction, response)
         else:
             del self.by_invite[transaction]
             full = response.status == 503
             outcome = OUTCOMES.get(response.status, Outcome.ERROR)
-            self._end(leg, End(outcome, full, response.status == 480, self._report(response)))
+            self._end(leg, AttemptEnd(outcome, full, response.status == 480, self._report(response)))
 
     def _stands(self, leg: Leg, transaction: ClientTransaction, response: Message) -> None:
         """ACK every 200; one that nobody waits for is ended by BYE."""
@@ -161,7 +161,7 @@
             leg.dialog = dialog
             self.by_dialog[dialog.identity] = leg
             body = (response.get("content-type"), data(response.body))
-            if self.core.stood(leg.attempt, body):
+            if self.core.attempt_answered(leg.attempt, body):
                 return
         # It crossed our CANCEL, or a fork answered second. The pause before the next send counts from here.
         self.counters.add("sip.unwanted_200s")
@@ -180,7 +180,7 @@
         leg = self.by_invite.get(transaction) or self.closing.pop(transaction, None)
         if leg is not None:
             leg.cancelling = True  # what still comes of it is ended
-            self._end(leg, End(Outcome.NO_ANSWER if sent else Outcome.NO_CONNECTION))
+            self._end(leg, AttemptEnd(Outcome.NO_ANSWER if sent else Outcome.NO_CONNECTION))
         if not sent:
             self.settled(transaction)
 
@@ -200,14 +200,14 @@
         self.by_dialog.pop(leg.dialog.identity, None)
         reason = request.get("reason").replace(" ", "").lower()
         cut = "cause=" in reason and "cause=16" not in reason and "cause=200" not in reason
-        self._end(leg, End(Outcome.CUT if cut else Outcome.SERVED, report=self._report(request)))
+        self._end(leg, AttemptEnd(Outcome.CUT if cut else Outcome.SERVED, report=self._report(request)))
         return True
 
-    def _end(self, leg: Leg, end: End) -> None:
+    def _end(self, leg: Leg, end: AttemptEnd) -> None:
         if not leg.ended:
             leg.ended = True
-            self.legs.pop(leg.attempt.call, None)
-            self.core.ended(leg.attempt, end)
+            self.legs.pop(leg.attempt.call_handle, None)
+            self.core.attempt_ended(leg.attempt, end)
 
     def _report(self, message: Message) -> Report | None:
         return read_report(message.get(self.settings.load_header.lower()))
--- a/bitternbeam/net/sip/front.py
+++ b/bitternbeam/net/sip/front.py
@@ -91,12 +91,12 @@
                 call_class=kind if kind in self.core.classes else self.settings.call_class,
                 cell=cells[crc32(number.encode()) % len(cells)] if cells else -1,
                 left_us=self._left_us(request),
-                taken_us=taken_us,
+                received_us=taken_us,
                 number=number,
                 # It outlives the buffer that it came in, so this is the one place where it is copied.
                 body=(request.get("content-type") or SDP, data(request.body)) if request.body else ("", b""),
                 ref=ref,
-                caller=transaction.hop.host,
+                client=transaction.hop.host,
             ),
         )
 
@@ -155,14 +155,14 @@
 
     # The core's Front.
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         """Let the caller's telephone ring, once."""
         leg = self.legs.get(ref)
         if leg is not None and not leg.ringing:
             leg.ringing = True
             leg.invite.respond(respond(leg.invite.request, 180, leg.tag, [self._contact(leg)]))
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         """Send 200 with the booker's description, and again until its ACK comes (13.3.1.4)."""
         leg = self.legs.get(ref)
         if leg is None:
@@ -195,16 +195,16 @@
         leg.gap_us = min(2 * leg.gap_us, self.limits.sip_t2_us)
         leg.repeat = self.deadlines.after(leg.gap_us, lambda: self._repeat(leg, wire))
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         """Tell whether a final response is owed: a CANCEL that was read has taken the leg from the table."""
         return self.legs.get(ref) is not None
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         """Turn a caller away: 503 says when to come back, in whole seconds."""
         seconds = max(1, -(-stay_away_us // SECOND))
         self._final(ref, 503, [("retry-after", str(seconds))])
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         """Tell a caller that its time is up, or that the call failed."""
         self._final(ref, 408 if late else 500)
 
@@ -214,7 +214,7 @@
             self.by_invite.pop(leg.invite, None)
             leg.invite.respond(respond(leg.invite.request, status, leg.tag, extra or []))
 
-    def released(self, ref: int, outcome: Outcome) -> None:
+    def send_release(self, ref: int, outcome: Outcome) -> None:
         """End a caller's call; BYE must not overtake the ACK that its 200 still lacks (15)."""
         leg = self.legs.get(ref)
         if leg is None:
--- a/bitternbeam/net/sip/site.py
+++ b/bitternbeam/net/sip/site.py
@@ -74,7 +74,7 @@
             self.states = {entry.switch: entry for entry in entries}
         ready = {entry.cell for entry in self.states.values() if entry.state is SwitchState.READY}
         self.settings.cells = sorted(ready)
-        self.core.listed(kind, entries)
+        self.core.update_bookers(kind, entries)
 
     def stop(self) -> None:
         """Close the sockets once what was written has left."""
--- a/bitternbeam/numbers/table.py
+++ b/bitternbeam/numbers/table.py
@@ -18,7 +18,7 @@
 import msgspec
 from blake3 import blake3
 
-from bitternbeam.mapped import cut_short
+from bitternbeam.lmdb_files import describe_truncation
 from bitternbeam.numbers.plan import Analysis, Plans, follow
 from bitternbeam.numbers.rules import Rule
 from bitternbeam.numbers.times import ALWAYS, Moment, Times
@@ -157,7 +157,7 @@
         self.env: Any = None
         try:
             self.env = lmdb.open(str(file), subdir=False, lock=False, readonly=True, readahead=False)
-            if short := cut_short(self.env, file):
+            if short := describe_truncation(self.env, file):
                 raise TableError(f"table {file}: cut short: {short}")
             self.txn = self.env.begin(buffers=True)
             raw = self.txn.get(HEAD)
--- a/bitternbeam/plugins/wasm.py
+++ b/bitternbeam/plugins/wasm.py
@@ -62,7 +62,7 @@
             if kind is None or kind.params != [i32] * 4 or kind.results != results:
                 raise ConfigError(f"plugin.file: {settings.path}: it exports no {name}() of the right type")
 
-    def offered(self, call_class: str, cell: int, left_us: int, redial: bool) -> int | None:
+    def check_call(self, call_class: str, cell: int, left_us: int, redial: bool) -> int | None:
         """Ask it about a call: None to pass it, else how long its caller is to stay away."""
         number = self.numbers.get(call_class, -1)
         away_ms = self._run("offered", number, cell, left_us // MS, int(redial))
@@ -70,7 +70,7 @@
             return None
         return min(away_ms * MS, self.longest_away_us)
 
-    def ended(self, call_class: str, outcome: Outcome, attempts: int, took_us: int) -> None:
+    def call_ended(self, call_class: str, outcome: Outcome, attempts: int, took_us: int) -> None:
         """Let it observe how a call ended."""
         self._run("ended", self.numbers.get(call_class, -1), OUTCOMES[outcome], attempts, took_us // MS)
 
--- a/bitternbeam/settings.py
+++ b/bitternbeam/settings.py
@@ -19,7 +19,7 @@
 }
 
 
-class WireError(Exception):
+class InputError(Exception):
     """Input that cannot be read."""
 
 
@@ -28,36 +28,36 @@
     try:
         raw = parse(text) if isinstance(text, str) else text
     except ValueError as error:
-        raise WireError(f"settings are not JSON: {error}") from None
+        raise InputError(f"settings are not JSON: {error}") from None
     try:
         return _settings(Fields(raw))
     except FieldError as error:
-        raise WireError(f"settings: {error}") from None
+        raise InputError(f"settings: {error}") from None
     except ValueError as error:
-        raise WireError(str(error)) from None
+        raise InputError(str(error)) from None
 
 
 def _settings(top: Fields) -> api.Settings:
-    domain, safety, limits = top.fields("domain"), top.fields("safety"), top.fields("limits")
-    here = domain.whole("here", least=-1)
-    away_us = limits.whole("max_retry_after_us", least=0) if limits.flag("retry_after", False) else 0
+    domain, safety, limits = top.nested("domain"), top.nested("safety"), top.nested("limits")
+    here = domain.integer("here", minimum=-1)
+    away_us = limits.integer("max_retry_after_us", minimum=0) if limits.boolean("retry_after", False) else 0
     return api.Settings(
-        gateways=top.whole("balancers", above=0),
+        gateways=top.integer("balancers", above=0),
         classes=_classes(top, domain),
         tenants=_tenants(top),
-        over_share_worth=top.number("over_share_worth", 1.0, least=0, most=1),
-        max_attempts=limits.whole("max_attempts", above=0),
-        may_probe=limits.flag("may_probe"),
-        may_cancel=limits.flag("cancel"),
+        over_share_worth=top.number("over_share_worth", 1.0, minimum=0, maximum=1),
+        max_attempts=limits.integer("max_attempts", above=0),
+        may_probe=limits.boolean("may_probe"),
+        may_cancel=limits.boolean("cancel"),
         must_subscribe=top.text("registry_mode") == "subscribe",
-        release_wait_us=domain.whole("clear_wait_us", least=0),
-        resend_us=domain.whole("resend_us", 0, least=0),
-        tells_wait=domain.flag("says_wait", False),
+        release_wait_us=domain.integer("clear_wait_us", minimum=0),
+        resend_us=domain.integer("resend_us", 0, minimum=0),
+        tells_wait=domain.boolean("says_wait", False),
         own_cell=None if here < 0 else here,
-        cold_from=safety.number("cold_from", above=0, most=1),
-        warm_after_us=safety.whole("warm_after_us", least=0),
+        cold_from=safety.number("cold_from", above=0, maximum=1),
+        warm_after_us=safety.integer("warm_after_us", minimum=0),
         fall_multiple=safety.number("fall_multiple", above=0),
-        fall_us=safety.whole("fall_us", above=0),
+        fall_us=safety.integer("fall_us", above=0),
         max_stay_away_us=away_us,
     )
 
@@ -76,13 +76,13 @@
 def _class(item: Fields, cells: tuple[int, ...] | None) -> api.CallClass:
     effect = item.text("idempotency")
     if effect not in EFFECTS:
-        raise FieldError(f"'{item.key('idempotency')}' must be one of {', '.join(EFFECTS)}")
+        raise FieldError(f"'{item.full_key('idempotency')}' must be one of {', '.join(EFFECTS)}")
     return api.CallClass(
         name=item.text("name"),
-        aim_us=item.whole("aim_us", above=0),
-        deadline_us=item.whole("hard_limit_us", above=0),
-        worth=item.number("worth", least=0),
-        late_worth=item.number("late_value", 0.0, least=0, most=1),
+        aim_us=item.integer("aim_us", above=0),
+        deadline_us=item.integer("hard_limit_us", above=0),
+        worth=item.number("worth", minimum=0),
+        late_worth=item.number("late_value", 0.0, minimum=0, maximum=1),
         effect=EFFECTS[effect],
         cells=cells,
     )
@@ -92,17 +92,17 @@
     """Return the cells that each class may go to."""
     rows = domain.array("class_cells")
     if len(rows) < classes:
-        raise FieldError(f"'{domain.key('class_cells')}' must hold one array for each class")
+        raise FieldError(f"'{domain.full_key('class_cells')}' must hold one array for each class")
     for index, row in enumerate(rows):
         if not isinstance(row, list) or not all(type(cell) is int and cell >= 0 for cell in row):
-            key = f"{domain.key('class_cells')}[{index}]"
+            key = f"{domain.full_key('class_cells')}[{index}]"
             raise FieldError(f"'{key}' has the wrong form: not an array of cells")
     return [tuple(row) for row in rows]
 
 
 def _tenants(top: Fields) -> tuple[api.Tenant, ...]:
     tenants = tuple(
-        api.Tenant(item.text("name"), item.number("quota_per_s", least=0))
+        api.Tenant(item.text("name"), item.number("quota_per_s", minimum=0))
         for item in top.objects("tenants", [])
     )
     _check_names("tenants", [one.name for one in tenants])
--- a/bitternbeam/store/versions.py
+++ b/bitternbeam/store/versions.py
@@ -28,7 +28,7 @@
 from bitternbeam.configuration.reading import MODULUS, hash_of, read_kept
 from bitternbeam.configuration.schema import AnyEntry, Key
 from bitternbeam.configuration.versions import Lines
-from bitternbeam.mapped import cut_short
+from bitternbeam.lmdb_files import describe_truncation
 from bitternbeam.store.records import (
     FORMAT,
     EndRecord,
@@ -78,7 +78,7 @@
 
     def _check_size(self) -> None:
         """Refuse a file that was cut short."""
-        if short := cut_short(self.env, self.folder / "versions" / "data.mdb"):
+        if short := describe_truncation(self.env, self.folder / "versions" / "data.mdb"):
             raise StoreError(f"store {self.folder}: damaged: {short}")
 
     def close(self) -> None:
--- a/bitternbeam/tables/deadlines.py
+++ b/bitternbeam/tables/deadlines.py
@@ -72,7 +72,7 @@
         """Return the earliest time at which input that is being read now may have come."""
         return self._clock.earliest_arrival_us()
 
-    def at(self, at_us: int, due: Callable[[], None]) -> Deadline:
+    def call_at(self, at_us: int, due: Callable[[], None]) -> Deadline:
         """Call due at that time or soon after; never at once."""
         deadline = Deadline(self, at_us, due)
         heapq.heappush(self._heap, (at_us, next(self._order), deadline))
@@ -81,7 +81,7 @@
 
     def after(self, wait_us: int, due: Callable[[], None]) -> Deadline:
         """Call due after a wait."""
-        return self.at(self._clock.now_us() + wait_us, due)
+        return self.call_at(self._clock.now_us() + wait_us, due)
 
     def count_cancelled(self) -> None:
         """Note that an entry of the heap is dead."""
--- a/bitternbeam/wiring/admin.py
+++ b/bitternbeam/wiring/admin.py
@@ -5,8 +5,8 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from bitternbeam.figures.counts import snapshot, summed
-from bitternbeam.figures.pool import avoided
+from bitternbeam.metrics.counts import snapshot, sum_counts
+from bitternbeam.metrics.pool import count_ejected
 from bitternbeam.net.accepting import AcceptBounds
 from bitternbeam.net.admin import AdminWire, render_vars
 from bitternbeam.net.connect import listen
@@ -61,11 +61,11 @@
     def figures(self) -> dict[str, object]:
         """Return what `vars` prints, added up over the parts that serve."""
         cores = [part.core for part in self.daemon.serving]
-        ejected = sum(avoided(getattr(core.module, "switches", {}), core.listed_as) for core in cores)
+        ejected = sum(count_ejected(getattr(core.module, "switches", {}), core.states) for core in cores)
         return snapshot(
-            summed(core.figures for core in cores),
+            sum_counts(core.metrics for core in cores),
             active=sum(core.active for core in cores),
-            pool_size=sum(len(core.listed_as) for core in cores),
+            pool_size=sum(len(core.states) for core in cores),
             pool_ejected=ejected,
         )
 
--- a/bitternbeam/wiring/configured/build.py
+++ b/bitternbeam/wiring/configured/build.py
@@ -84,12 +84,12 @@
     """Run the daemon of a file until SIGTERM; returns the exit status, 2 where it can't begin."""
     from twisted.internet import reactor  # noqa: PLC0415 - installed when it is first named
 
-    from bitternbeam.logs import set_up  # noqa: PLC0415 - structlog is not for the platform
+    from bitternbeam.logs import configure_logging  # noqa: PLC0415 - structlog is not for the platform
     from bitternbeam.net.control.tls import TlsError  # noqa: PLC0415 - likewise
 
     try:
         site = read_site(path)
-        set_up(site.node.log, site.node.log_level)
+        configure_logging(site.node.log, site.node.log_level)
         daemon = build(reactor, site)
     except DocumentError as error:
         for fault in error.faults:
--- a/bitternbeam/wiring/configured/followers.py
+++ b/bitternbeam/wiring/configured/followers.py
@@ -81,4 +81,4 @@
         self.now = snapshot.plugin
         gates, self.ready = self.ready or self.gates(snapshot), {}
         for part in self.daemon.serving:
-            part.core.gate = gates.get(part.name)
+            part.core.admission_filter = gates.get(part.name)
--- a/bitternbeam/wiring/configured/operators.py
+++ b/bitternbeam/wiring/configured/operators.py
@@ -56,7 +56,7 @@
     def bookers(self, _question: dict[str, Any]) -> Iterator[Any]:
         """Yield every listed booker as its side, name, cell and state."""
         for part in self.daemon.serving:
-            for name, state in list(part.core.listed_as.items()):
+            for name, state in list(part.core.states.items()):
                 yield [part.name, name, part.core.cells.get(name, -1), state.value]
 
     def calls(self, question: dict[str, Any]) -> Iterator[Any]:
@@ -70,10 +70,10 @@
                         "call": call.offer.uid,
                         "class": call.offer.call_class,
                         "state": call.state.value,
-                        "booker": call.out.booker if call.out else "",
+                        "booker": call.current_attempt.booker if call.current_attempt else "",
                         "attempts": call.attempts,
                         "version": call.plan.version,
-                        "age_ms": (now_us - call.offer.taken_us) // 1000,
+                        "age_ms": (now_us - call.offer.received_us) // 1000,
                     }
 
     def versions(self, _question: dict[str, Any]) -> Any:
--- a/bitternbeam/wiring/configured/part.py
+++ b/bitternbeam/wiring/configured/part.py
@@ -48,7 +48,7 @@
             listed=self.listed,
             counters=common.counters,
             store=self.store,
-            busy=memory.at_work,
+            busy=memory.pause_collection,
         )
         self.keeper.checks.append(fixed)
         self.control = self._control()
@@ -83,12 +83,12 @@
 
     def listed(self, name: str) -> bool:
         """Tell whether a booker stands on the list of any side."""
-        return any(name in core.listed_as for core in self.cores)
+        return any(name in core.states for core in self.cores)
 
     def serve(self, core: CallControl) -> None:
         """Decide the calls of a core under the version that runs."""
         self.cores.append(core)
-        core.policies = self.keeper.versions.pinning
+        core.plan_provider = self.keeper.versions.pinning
 
     def start(self) -> None:
         """Finish what was staged, and follow the control services."""
--- a/bitternbeam/wiring/fleet/budgets.py
+++ b/bitternbeam/wiring/fleet/budgets.py
@@ -8,8 +8,8 @@
 
 from bitternbeam.configuration.fleet import Fleet
 from bitternbeam.configuration.tenants import belonging_of, budgets_of, tenants_of, version_of
-from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
+from bitternbeam.core.limiters import UnlimitedTraffic
 from bitternbeam.fleet.budgets.granted import PairTerms
 from bitternbeam.fleet.budgets.holdings import Holdings
 from bitternbeam.fleet.budgets.terms import Kind
@@ -23,7 +23,7 @@
 log = logging.getLogger(__name__)
 
 
-class BudgetBounds(Open):
+class BudgetBounds(UnlimitedTraffic):
     """What the cores ask: room for the call's tenant, taken at each send; one without a budget is open."""
 
     def __init__(self, bench: Bench, holdings: Holdings) -> None:
@@ -40,9 +40,9 @@
 
     def tenant(self, offer: Offer) -> str:
         """Return whose a call is; '': nobody's, and it goes to no booker that has a budget."""
-        return self.whose.tenant(offer.number, offer.caller, offer.call_class)
+        return self.whose.tenant(offer.number, offer.client, offer.call_class)
 
-    def offered(self, offer: Offer, now_us: int) -> int | None:
+    def admit(self, offer: Offer, now_us: int) -> int | None:
         """Turn away a call whose tenant has no room left here."""
         if not self.budgeted:
             return None
@@ -57,13 +57,13 @@
             self.bench.counters.add("fleet.budgets.refused")
         return self.holdings.times.period_us
 
-    def dry(self, offer: Offer, now_us: int) -> frozenset[str]:
+    def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
         """Return the bookers where the call's tenant has no room here."""
         # Danger: a call is over after some bookers that bar it, and few lines lie at one of many.
         tenant = self.tenant(offer)
         return frozenset(one for one in self.budgeted if not self.holdings.room(tenant, one, now_us))
 
-    def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
+    def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         """Take one of the tenant's part at a booker."""
         if booker not in self.budgeted:
             return ""
@@ -73,14 +73,14 @@
         self.taken[offer.uid, booker] = tenant
         return ""
 
-    def unsent(self, booker: str, offer: Offer) -> None:
+    def cancel_send(self, booker: str, offer: Offer) -> None:
         """Give back what was not used."""
         # Danger: by the tables of now it could be another's, who would be let take more than it has.
         tenant = self.taken.pop((offer.uid, booker), None)
         if tenant is not None:
             self.holdings.undo(tenant, booker)
 
-    def ended(self, booker: str, offer: Offer) -> None:
+    def attempt_ended(self, booker: str, offer: Offer) -> None:
         """Give back what was used."""
         tenant = self.taken.pop((offer.uid, booker), None)
         if tenant is not None:
--- a/bitternbeam/wiring/fleet/extension.py
+++ b/bitternbeam/wiring/fleet/extension.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bitternbeam.configuration.fleet import Fleet
-from bitternbeam.core.ports import Bounds
+from bitternbeam.core.ports import TrafficLimiter
 from bitternbeam.net.coordination import KvEntry
 from bitternbeam.wiring.fleet.work import Work
 
@@ -21,7 +21,7 @@
 
     name = ""  # its key in the report and in the status
     works: Sequence[Work] = ()  # leased, acted on and published by the member
-    bounds: Bounds | None = None  # what the cores ask, in the order of the extensions
+    bounds: TrafficLimiter | None = None  # what the cores ask, in the order of the extensions
 
     def shown(self, entries: Mapping[str, KvEntry], now_us: int) -> None:
         """Take the records as the watch shows them; its works were told."""
--- a/bitternbeam/wiring/fleet/limit_bounds.py
+++ b/bitternbeam/wiring/fleet/limit_bounds.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
+from bitternbeam.core.limiters import UnlimitedTraffic
 from bitternbeam.fleet.limits.member import CallScope, MemberLimits
 from bitternbeam.wiring.fleet.bench import Bench
 
@@ -13,7 +13,7 @@
 OVER_SHARE = "over_share"  # another booker may be tried
 
 
-class LimitBounds(Open):
+class LimitBounds(UnlimitedTraffic):
     """What the cores ask: room at the offer where no booker matters, taken at each send."""
 
     def __init__(self, bench: Bench, limits: MemberLimits, tenant_of: Callable[[Offer], str]) -> None:
@@ -25,9 +25,9 @@
 
     def scope(self, offer: Offer, booker: str = "") -> CallScope:
         """Return what a call is to a limit."""
-        return CallScope(booker, offer.call_class, self.tenant_of(offer), offer.caller)
+        return CallScope(booker, offer.call_class, self.tenant_of(offer), offer.client)
 
-    def offered(self, offer: Offer, now_us: int) -> int | None:
+    def admit(self, offer: Offer, now_us: int) -> int | None:
         """Turn an offer away that no booker may be sent now."""
         for one in self.limits.matching(self.scope(offer)):
             if not one.has_room(now_us):
@@ -38,7 +38,7 @@
                 return min(AWAY_MOST_US, int(1e6 / max(one.usable(now_us), 1e-6)))
         return None
 
-    def dry(self, offer: Offer, now_us: int) -> frozenset[str]:
+    def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
         """Return the bookers that a limit of theirs bars now."""
         found: set[str] = set()
         for name in self.of_bookers:
@@ -47,17 +47,17 @@
                 found.update(one.limit.bookers)
         return frozenset(found)
 
-    def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
+    def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         """Take from every limit that an attempt meets, or from none."""
         name = self.limits.try_acquire(self.scope(offer, booker), now_us)
         if name:
             self.bench.counters.add(f"fleet.limits.{name}.refused")
         return OVER_SHARE if name else ""
 
-    def unsent(self, booker: str, offer: Offer) -> None:
+    def cancel_send(self, booker: str, offer: Offer) -> None:
         """Give back what is held; what was taken of a rate is spent."""
         self.limits.release(self.scope(offer, booker))
 
-    def ended(self, booker: str, offer: Offer) -> None:
+    def attempt_ended(self, booker: str, offer: Offer) -> None:
         """Give back what is held."""
         self.limits.release(self.scope(offer, booker))
--- a/bitternbeam/wiring/fleet/member.py
+++ b/bitternbeam/wiring/fleet/member.py
@@ -14,8 +14,8 @@
 from bitternbeam.configuration.fleet import Fleet
 from bitternbeam.configuration.snapshot import Snapshot
 from bitternbeam.configuration.versions import Versions
-from bitternbeam.core.bounds import chained
-from bitternbeam.core.ports import Bounds
+from bitternbeam.core.limiters import combine_limiters
+from bitternbeam.core.ports import TrafficLimiter
 from bitternbeam.counters import Counters
 from bitternbeam.fleet.claim import Phase, Step
 from bitternbeam.fleet.placement import wants
@@ -241,9 +241,9 @@
         for one in self.extensions:
             one.restarted()
 
-    def bounds(self) -> Bounds | None:
+    def bounds(self) -> TrafficLimiter | None:
         """Return what the cores ask, None: nothing is bounded."""
-        return chained([one.bounds for one in self.extensions if one.bounds is not None])
+        return combine_limiters([one.bounds for one in self.extensions if one.bounds is not None])
 
     def checks(self, again: Callable[[], None]) -> list[Callable[[Snapshot, Snapshot], None]]:
         """Return who may refuse a version, by raising DocumentError; `again` has the file's offered anew."""
--- a/bitternbeam/wiring/fleet/returns.py
+++ b/bitternbeam/wiring/fleet/returns.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import Any
 
-from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
+from bitternbeam.core.limiters import UnlimitedTraffic
 from bitternbeam.fleet.returns.admission import Returns
 from bitternbeam.fleet.returns.outcome import Admit
 from bitternbeam.fleet.returns.settings import ReturnSettings
@@ -19,18 +19,18 @@
 from bitternbeam.wiring.fleet.work import Work
 
 
-class ReturnBounds(Open):
+class ReturnBounds(UnlimitedTraffic):
     """What the cores ask: whether it is a return's time."""
 
     def __init__(self, bench: Bench, pacing: Returns) -> None:
         self.bench, self.pacing, self.settings = bench, pacing, pacing.settings
 
-    def offered(self, offer: Offer, now_us: int) -> int | None:
+    def admit(self, offer: Offer, now_us: int) -> int | None:
         """Let a return in, or tell it at once for how long to stay away."""
         rank = self.settings.rank(offer.call_class)
         if rank is None:
             return None
-        named = offer.caller if self.settings.identity == "caller" else offer.number
+        named = offer.client if self.settings.identity == "caller" else offer.number
         # Danger: under one empty name all those that tell none would share one slot.
         told = self.pacing.offered(named or offer.uid, rank, now_us, now_us // 1000)
         if isinstance(told, Admit):
--- a/bitternbeam/wiring/fleet/settings.py
+++ b/bitternbeam/wiring/fleet/settings.py
@@ -69,7 +69,7 @@
     whose = belonging_of(fleet.tenant)
 
     def tenant_of(offer: Offer) -> str:
-        return whose.tenant(offer.number, offer.caller, offer.call_class)
+        return whose.tenant(offer.number, offer.client, offer.call_class)
 
     if fleet.verdicts is not None:
         # First: who is barred takes nothing of the others'.
--- a/bitternbeam/wiring/fleet/verdicts.py
+++ b/bitternbeam/wiring/fleet/verdicts.py
@@ -11,8 +11,8 @@
 from bitternbeam.configuration.snapshot import Snapshot
 from bitternbeam.configuration.verdicts import judged_limits
 from bitternbeam.configuration.versions import Versions, content_of
-from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
+from bitternbeam.core.limiters import UnlimitedTraffic
 from bitternbeam.fleet.verdicts.board import VerdictBoard
 from bitternbeam.fleet.verdicts.bound import max_staleness_ms
 from bitternbeam.fleet.verdicts.detectors import BookerDetector, DemandDetector, Detection, VersionDetector
@@ -29,7 +29,7 @@
 KEPT_MOST = 64  # verdicts of a kind that a member's report carries
 
 
-class VerdictBounds(Open):
+class VerdictBounds(UnlimitedTraffic):
     """What the cores ask: whose call is turned away at once, which bookers get nothing new."""
 
     def __init__(
@@ -50,11 +50,11 @@
         if kind == "booker":
             self.ejected = frozenset(name for of, name in self.board.entries if of == kind)
 
-    def offered(self, offer: Offer, now_us: int) -> int | None:
+    def admit(self, offer: Offer, now_us: int) -> int | None:
         """Turn a barred tenant's or caller's call away until the verdict's end."""
         away_us = 0
         for kind in self.callers:
-            subject = offer.caller if kind == "caller" else self.tenant_of(offer)
+            subject = offer.client if kind == "caller" else self.tenant_of(offer)
             self.seen.count_offer(kind, subject)
             away_us = max(away_us, self.board.remaining_us(kind, subject, now_us))
         if not away_us:
@@ -62,23 +62,25 @@
         self.bench.counters.add("fleet.verdicts.refused")
         return min(AWAY_MOST_US, away_us)
 
-    def dry(self, offer: Offer, now_us: int) -> frozenset[str]:
+    def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
         """Return the ejected bookers."""
         return frozenset(one for one in self.ejected if self.board.remaining_us("booker", one, now_us))
 
-    def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
+    def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         """Let nothing new go to an ejected booker."""
-        return OVER_SHARE if booker in self.ejected and booker in self.dry(offer, now_us) else ""
+        return (
+            OVER_SHARE if booker in self.ejected and booker in self.exhausted_bookers(offer, now_us) else ""
+        )
 
-    def answered(self, booker: str, now_us: int) -> None:
+    def attempt_answered(self, booker: str, now_us: int) -> None:
         """Note a booker that answers."""
         self.seen.count_attempt(booker, unanswered=False)
 
-    def refused(self, booker: str) -> None:
+    def attempt_refused(self, booker: str) -> None:
         """Note a booker that answers."""
         self.seen.count_attempt(booker, unanswered=False)
 
-    def late(self, booker: str) -> None:
+    def attempt_timed_out(self, booker: str) -> None:
         """Note a booker that did not answer in time."""
         self.seen.count_attempt(booker, unanswered=True)
 
--- a/bitternbeam/wiring/handover.py
+++ b/bitternbeam/wiring/handover.py
@@ -65,7 +65,7 @@
         if not self.writing:
             return
         now_us = self.common.deadlines.now_us()
-        self.common.deadlines.at(now_us + WRITE_US, self._write)
+        self.common.deadlines.call_at(now_us + WRITE_US, self._write)
         part = self.path.with_suffix(f".{os.getpid()}")
         try:
             # Renamed into its place: the other process reads a whole file or none.
--- a/bitternbeam/wiring/parts.py
+++ b/bitternbeam/wiring/parts.py
@@ -77,7 +77,7 @@
 
     def status(self) -> dict[str, Any]:
         """Return the number of calls and what is known of the list."""
-        states = [state.value for state in self.core.listed_as.values()]
+        states = [state.value for state in self.core.states.values()]
         return {
             "calls": len(self.core.calls),
             "bookers": {state: states.count(state) for state in sorted(set(states))},
--- a/bitternbeam/wiring/platform.py
+++ b/bitternbeam/wiring/platform.py
@@ -34,12 +34,12 @@
     def __init__(self, counters: Counters) -> None:
         self.counters = counters
 
-    def offered(self, call_class: str, cell: int, left_us: int, redial: bool) -> int | None:
+    def check_call(self, call_class: str, cell: int, left_us: int, redial: bool) -> int | None:
         """Refuse; the caller need not stay away, as others serve."""
         self.counters.add("shutdown.refused")
         return 0
 
-    def ended(self, call_class: str, outcome: Outcome, attempts: int, took_us: int) -> None:
+    def call_ended(self, call_class: str, outcome: Outcome, attempts: int, took_us: int) -> None:
         """Need no word of a call's end."""
 
 
@@ -51,7 +51,7 @@
     def __init__(self, common: Common) -> None:
         self.common = common
         config, deadlines, counters = common.config, common.deadlines, common.counters
-        limits = common.limits.shared_by(config.settings.gateways)
+        limits = common.limits.share_of_fleet(config.settings.gateways)
         module = Controller(config.settings, config.seed)
         self.core = CallControl(module, config.settings, deadlines, limits, counters)
         self.back = PlatformBack(common.reactor, self.core, deadlines, limits, counters)
@@ -60,7 +60,7 @@
         self.back.inherited_calls.on_release = self.front.inherited_call_released
         self.discovery = DiscoveryWatch(
             reactor=common.reactor,
-            address=config.board,
+            address=config.discovery_address,
             update=ServerList(self.core, self.back).update,
             deadlines=deadlines,
             limits=limits,
@@ -77,7 +77,7 @@
         """Follow discovery and, once its first word has come, listen."""
         made: Any = Deferred()
         made.addCallback(lambda _: self._listen())
-        self.discovery.start(self.common.config.known, lambda: made.callback(None))
+        self.discovery.start(self.common.config.known_bookers, lambda: made.callback(None))
         return made
 
     def _listen(self) -> Any:
@@ -95,7 +95,7 @@
 
     def _accept_bounds(self) -> AcceptBounds:
         limits = self.common.limits
-        most_open = limits.client_connections + limits.client_closing
+        most_open = limits.client_connections + limits.client_closing_connections
         return AcceptBounds(most_open, limits.accept_retry_us, self.common.counters)
 
     def _listening(self, port: Any) -> None:
@@ -105,7 +105,7 @@
 
     def ready(self) -> bool:
         """Tell whether calls can be taken: listening, and the list of bookers told."""
-        return self.port is not None and self.core.has_list
+        return self.port is not None and self.core.has_booker_list
 
     def listening(self) -> bool:
         """Tell whether callers can connect."""
@@ -126,7 +126,7 @@
 
     def busy(self) -> bool:
         """Tell whether a request is open, half read, or on its way on a connection just made."""
-        young_us = self.common.deadlines.now_us() - self.common.limits.client_young_us
+        young_us = self.common.deadlines.now_us() - self.common.limits.client_new_us
         return super().busy() or any(
             one.has_partial_message or (not one.has_been_used and one.idle_since_us > young_us)
             for one in self.front.connections.values()
@@ -138,7 +138,7 @@
         Danger: a call that stands belongs to no connection and no process. Released here, a planned restart
         cut every call that outlasted it; left alone, its release comes to the process that starts after it.
         """
-        self.core.gate = RefuseAll(self.common.counters)
+        self.core.admission_filter = RefuseAll(self.common.counters)
         if self.port:
             close_listener(self.port)
             self.port = None
@@ -159,8 +159,8 @@
             log.error("SIGHUP: %s; the old configuration stands", error)
             return
         self.common.counters.add("reloads")
-        log.info("SIGHUP: discovery is at %s", config.board)
-        self.discovery.move(config.board)
+        log.info("SIGHUP: discovery is at %s", config.discovery_address)
+        self.discovery.move(config.discovery_address)
 
     def stop(self) -> None:
         """Close everything once what was written has left."""
--- a/bitternbeam/wiring/recovering.py
+++ b/bitternbeam/wiring/recovering.py
@@ -14,7 +14,7 @@
 from bitternbeam.configuration.snapshot import Snapshot
 from bitternbeam.configuration.versions import Draft, Past, Versions, content_of
 from bitternbeam.decision.interface import Settings
-from bitternbeam.memory import building
+from bitternbeam.memory import collection_paused
 from bitternbeam.store.records import EndRecord
 from bitternbeam.store.versions import VersionStore
 
@@ -42,7 +42,7 @@
     return snapshot
 
 
-@building()
+@collection_paused()
 def recover(
     settings: Settings,
     entries: dict[Key, AnyEntry],
--- a/bitternbeam/wiring/run.py
+++ b/bitternbeam/wiring/run.py
@@ -38,7 +38,9 @@
 
         names = [kind.name for kind in config.settings.classes]
         for part in daemon.serving:
-            part.core.gate = WasmGate(plugin, names, config.settings.max_stay_away_us, daemon.counters)
+            part.core.admission_filter = WasmGate(
+                plugin, names, config.settings.max_stay_away_us, daemon.counters
+            )
     return daemon
 
 
--- a/bitternbeam/wiring/shutdown.py
+++ b/bitternbeam/wiring/shutdown.py
@@ -41,13 +41,13 @@
     def of(cls, limits: Limits, longest_us: int) -> Timetable:
         """Count back from SIGKILL, which follows the longest deadline of a request.
 
-        Requests may arrive until `serve_on_us`, so no phase but the first ends before that, however short
+        Requests may arrive until `drain_us`, so no phase but the first ends before that, however short
         the deadlines are.
         """
-        kill_us = min(longest_us, limits.kill_deadline_us) + limits.kill_spare_us
-        answered_us = max(limits.serve_on_us, kill_us - limits.closing_reserve_us)
+        kill_us = min(longest_us, limits.kill_deadline_us) + limits.kill_margin_us
+        answered_us = max(limits.drain_us, kill_us - limits.closing_reserve_us)
         closed_us = max(answered_us, kill_us - limits.exit_reserve_us)
-        return cls(limits.serve_on_us, answered_us, closed_us)
+        return cls(limits.drain_us, answered_us, closed_us)
 
 
 class Lifecycle:
@@ -96,8 +96,8 @@
         if not listening:
             self._close()
             return
-        self.deadlines.at(now_us + timetable.drained_us, self._drained)
-        self.deadlines.at(now_us + timetable.answered_us, self._close)
+        self.deadlines.call_at(now_us + timetable.drained_us, self._drained)
+        self.deadlines.call_at(now_us + timetable.answered_us, self._close)
 
     def _drained(self) -> None:
         if self.phase is not Phase.DRAINING:
--- a/tests/control_rig.py
+++ b/tests/control_rig.py
@@ -24,7 +24,7 @@
 from tests.loop import parts, pause, reactor, until
 
 LIMITS = replace(
-    Limits(), control_retry_us=20 * MS, control_retry_most_us=100 * MS, control_connect_us=1 * SECOND,
+    Limits(), control_retry_us=20 * MS, control_max_backoff_us=100 * MS, control_connect_us=1 * SECOND,
     control_silent_us=3 * SECOND,
 )  # fmt: skip
 ONE = entries(FIRST)
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from bitternbeam.core.calls import Attempt, End, Offer
+from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.core.control import CallControl
-from bitternbeam.core.ports import Decisions
+from bitternbeam.core.ports import DecisionModule
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
 from bitternbeam.limits import Limits
@@ -53,28 +53,28 @@
         self.broken.unless(len(one.answers) == 1, f"{one.uid}: {one.answers}")
         self.broken.unless(self.hand.time_us <= one.end_us, f"{one.uid}: late")
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         """Take an answer."""
         self._answer(ref, "stands")
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         """Take a refusal."""
         self._answer(ref, "refused")
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         """Take a failure."""
         self._answer(ref, "failed")
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         """Pass over it."""
 
-    def released(self, ref: int, outcome: api.Outcome) -> None:
+    def send_release(self, ref: int, outcome: api.Outcome) -> None:
         """Take a release, which ends a call that stood, once."""
         one = self.asked[ref]
         self.broken.unless(one.answers == ["stands"] and not one.over, f"{one.uid}: released")
         one.over = True
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         """Tell whether the client is there."""
         return not self.asked[ref].gone
 
@@ -98,7 +98,7 @@
     def set_up(self, attempt: Attempt) -> None:
         """Write at once, wait for a connection, or find the server unreachable."""
         if attempt.booker in self.unreachable:
-            self.core.ended(attempt, End(api.Outcome.NO_CONNECTION))
+            self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NO_CONNECTION))
             return
         attempt.unsent = True
         self.waiting.append(attempt)
@@ -109,10 +109,10 @@
         """Let the connection come up that an attempt waits for."""
         self.waiting.remove(attempt)
         if not self.core.may_write(attempt):
-            self.core.ended(attempt, End(api.Outcome.NOT_SENT))
+            self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NOT_SENT))
             return
         uid, unless = attempt.offer.uid, self.broken.unless
-        self.core.written(attempt)
+        self.core.attempt_written(attempt)
         out = [one for one in self.written + self.standing if one.offer.uid == uid]
         unless(not out, f"{uid}: two out")
         unless(self.hand.time_us >= self.held.get(uid, 0), f"{uid}: its release is in doubt")
@@ -124,7 +124,7 @@
     def end(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """End an attempt that is out, or a call that stands."""
         self._over(attempt, outcome)
-        self.core.ended(attempt, End(outcome))
+        self.core.attempt_ended(attempt, AttemptEnd(outcome))
 
     def _over(self, attempt: Attempt, outcome: api.Outcome) -> None:
         if attempt in self.written and outcome in IN_DOUBT:
@@ -136,15 +136,15 @@
     def answer(self, attempt: Attempt) -> None:
         """Answer an attempt."""
         self.written.remove(attempt)
-        if self.core.stood(attempt, "x"):
+        if self.core.attempt_answered(attempt, "x"):
             self.standing.append(attempt)
 
     def probe(self, booker: str) -> None:
         """Answer no probe."""
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         """Take an attempt back at once."""
-        self._over(attempt, attempt.given_up or api.Outcome.CALLED_OFF)
+        self._over(attempt, attempt.cancel_outcome or api.Outcome.CALLED_OFF)
         return True
 
     def release(self, attempt: Attempt) -> None:
@@ -155,7 +155,7 @@
 class CoreWorld:
     """One core with its clients and servers."""
 
-    def __init__(self, module: Decisions, limits: Limits | None = None) -> None:
+    def __init__(self, module: DecisionModule, limits: Limits | None = None) -> None:
         """List three servers."""
         self.hand = HandClock()
         self.deadlines = self.hand.deadlines
@@ -172,7 +172,7 @@
     def tell(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
         """Bring news of a server."""
         entry = api.SwitchEntry(name, self.names.index(name), state, started_us)
-        self.core.listed(api.ListKind.CHANGES, (entry,))
+        self.core.update_bookers(api.ListKind.CHANGES, (entry,))
 
     def ask(self, uid: str, left_us: int = 3 * SECOND, cell: int = 0) -> Asked:
         """Offer a request."""
--- a/tests/downstream_world.py
+++ b/tests/downstream_world.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.core.control import CallControl
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
@@ -67,15 +67,15 @@
         while self.waiting:
             attempt = self.waiting.pop()
             if not self.core.may_write(attempt):
-                self.core.ended(attempt, End(api.Outcome.NOT_SENT))
+                self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NOT_SENT))
             else:
                 self.attempts.append(attempt)
-                self.core.written(attempt)
+                self.core.attempt_written(attempt)
 
     def probe(self, booker: str) -> None:
         raise AssertionError("no probe was asked for")
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         self.given_up.append(attempt.offer.uid)
         return True
 
@@ -148,7 +148,7 @@
         self.core = CallControl(self.module, SETTINGS, self.deadlines, self.limits, self.counters)
         self.core.attach(self.back)
         self.back.core = self.core
-        self.core.listed(api.ListKind.CACHED, [api.SwitchEntry("s0", 0, api.SwitchState.READY)])
+        self.core.update_bookers(api.ListKind.CACHED, [api.SwitchEntry("s0", 0, api.SwitchState.READY)])
         self.module.events.clear()
         self.front = PlatformFront(self.core, self.deadlines, self.limits, self.counters)
         self.ports: list[Any] = []
@@ -208,13 +208,13 @@
         """Let the module act now."""
         due, usual = api.TimerDue(0), self.module.script
         self.module.script = lambda event: list(actions) if event is due else []
-        self.core.feed.put(due)
+        self.core.event_queue.process(due)
         self.module.script = usual
 
     def accept_call(self, uid: str) -> None:
         """Send a request on and let its server answer it."""
         self.act(api.Send(uid, "s0", 0))
-        assert self.core.stood(self.back.attempts[-1], "v=1")
+        assert self.core.attempt_answered(self.back.attempts[-1], "v=1")
 
     def close(self) -> None:
         for client in self.clients:
--- a/tests/inert_back.py
+++ b/tests/inert_back.py
@@ -11,7 +11,7 @@
     def probe(self, booker: str) -> None:
         raise AssertionError(booker)
 
-    def give_up(self, _attempt: Attempt) -> bool:
+    def cancel_attempt(self, _attempt: Attempt) -> bool:
         return True
 
     def release(self, _attempt: Attempt) -> None:
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -12,7 +12,7 @@
 from functools import partial
 from random import Random
 
-from bitternbeam.core.calls import Attempt, End, Offer
+from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.core.control import CallControl
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
@@ -124,7 +124,7 @@
         self.reported = Report(0, 0.0, {})
         if world.sharing:
             terms = Terms(period_us=world.period_us)
-            self.bounds = self.core.bounds = Bounds(
+            self.bounds = self.core.limiter = Bounds(
                 terms, lambda: world.members, Random(world.random.randrange(1 << 30)), world.time.now
             )
             phase = world.random.randrange(TICK_US)
@@ -132,7 +132,7 @@
             self.asks_us = world.time.now + world.random.randrange(world.period_us)
             world.time.at(world.time.now + phase, self.tick)
         entries = [api.SwitchEntry(name, at, api.SwitchState.READY) for at, name in enumerate(world.bookers)]
-        self.core.listed(api.ListKind.COMPLETE, entries)
+        self.core.update_bookers(api.ListKind.COMPLETE, entries)
 
     def tick(self) -> None:
         """Report, lead, ask and take, as wiring.fleet does."""
@@ -179,29 +179,29 @@
 
     def answer(self, attempt: Attempt, stood: bool) -> None:
         if not stood:
-            self.core.ended(attempt, End(api.Outcome.TURNED_AWAY, processor_full=True))
-        elif self.core.stood(attempt, None):
-            over = partial(self.core.ended, attempt, End(api.Outcome.SERVED))
+            self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.TURNED_AWAY, processor_full=True))
+        elif self.core.attempt_answered(attempt, None):
+            over = partial(self.core.attempt_ended, attempt, AttemptEnd(api.Outcome.SERVED))
             self.world.time.at(self.world.time.now + HELD_US, over)
 
     # The front.
 
-    def answered(self, _ref: int, _body: object) -> None:
+    def send_answer(self, _ref: int, _body: object) -> None:
         self.world.good.append(self.world.time.now)
 
-    def refused(self, _ref: int, _stay_away_us: int) -> None:
+    def send_refusal(self, _ref: int, _stay_away_us: int) -> None:
         self.world.refused += 1
 
-    def failed(self, _ref: int, late: bool) -> None:
+    def send_failure(self, _ref: int, late: bool) -> None:
         self.world.failed += 1
 
-    def progressed(self, _ref: int) -> None:
+    def send_progress(self, _ref: int) -> None:
         pass
 
-    def released(self, _ref: int, _outcome: api.Outcome) -> None:
+    def send_release(self, _ref: int, _outcome: api.Outcome) -> None:
         pass
 
-    def still_waiting(self, _ref: int) -> bool:
+    def is_client_waiting(self, _ref: int) -> bool:
         return True
 
 
--- a/tests/patience.py
+++ b/tests/patience.py
@@ -6,4 +6,4 @@
 
 from tests.test_platform import LIMITS
 
-PATIENT = replace(LIMITS, client_silent_us=60_000_000)
+PATIENT = replace(LIMITS, client_first_request_us=60_000_000)
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -104,7 +104,7 @@
         self.watch.start(known)
 
     def wait_for_state(self, state: SwitchState | None, booker: str = "s0") -> None:
-        until(lambda: self.core.listed_as.get(booker) is state)
+        until(lambda: self.core.states.get(booker) is state)
 
 
 @pytest.fixture
@@ -233,7 +233,7 @@
     elif says:
         desk.transport.write(event(4, "draining") if says == "drain" else b'{"rev":3}\n')
     until(part.ready)
-    assert part.core.listed_as.get("s0") is listed
+    assert part.core.states.get("s0") is listed
     part.stop()
     pause(0.02)
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,44 +7,44 @@
 
 import pytest
 
-from bitternbeam.core.bounds import Chain, Open
-from bitternbeam.core.calls import End, Offer
+from bitternbeam.core.calls import AttemptEnd, Offer
+from bitternbeam.core.limiters import LimiterChain, UnlimitedTraffic
 from bitternbeam.decision import interface as api
 from tests.loop import until
 from tests.test_fleet_load import Script, Wires
 
 
-class Held(Open):
+class Held(UnlimitedTraffic):
     """Amounts at once: of offers, and of attempts at each booker."""
 
     def __init__(self, offers: int = 9, attempts: int = 9, away_us: int = 0) -> None:
         self.offers, self.attempts, self.away_us = offers, attempts, away_us
         self.held: Counter[str] = Counter()
 
-    def offered(self, offer: Offer, now_us: int) -> int | None:
+    def admit(self, offer: Offer, now_us: int) -> int | None:
         if self.held[""] >= self.offers:
             return self.away_us
         self.held[""] += 1
         return None
 
-    def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
+    def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         if self.held[booker] >= self.attempts:
             return "over_share"
         self.held[booker] += 1
         return ""
 
-    def unsent(self, booker: str, offer: Offer) -> None:
+    def cancel_send(self, booker: str, offer: Offer) -> None:
         self.held[booker] -= 1
 
-    def ended(self, booker: str, offer: Offer) -> None:
+    def attempt_ended(self, booker: str, offer: Offer) -> None:
         self.held[booker] -= 1
 
-    def over(self, offer: Offer) -> None:
+    def call_ended(self, offer: Offer) -> None:
         self.held[""] -= 1
 
 
 def chain_of(wires: Wires, *links: Held) -> None:
-    wires.core.bounds = Chain([wires.bounds, *links])
+    wires.core.limiter = LimiterChain([wires.bounds, *links])
 
 
 @pytest.mark.parametrize("outcome", [one for one in api.Outcome if one is not api.Outcome.NOT_SENT])
@@ -54,11 +54,11 @@
     chain_of(wires, first, second)
     wires.offer(1)
     if stands:
-        wires.core.stood(wires.sent[-1], "")
+        wires.core.attempt_answered(wires.sent[-1], "")
     for one in (first, second):
         assert one.held == {"": 1, "a": 1}
     ended = wires.now()
-    wires.core.ended(wires.sent[-1], End(outcome))
+    wires.core.attempt_ended(wires.sent[-1], AttemptEnd(outcome))
     doubtful = outcome in (api.Outcome.NO_ANSWER, api.Outcome.CUT, api.Outcome.CALLED_OFF)
     assert bool(first.held["a"]) is doubtful  # the booker may hold it until a release has had its time
     until(lambda: not first.held["a"] and not first.held[""])
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from bitternbeam.core.calls import End
+from bitternbeam.core.calls import AttemptEnd
 from bitternbeam.decision import interface as api
 from tests.downstream_world import ID, DownstreamWorld, RawClient, cancel, request
 
@@ -36,7 +36,7 @@
     """Wait after a refusal by a server."""
     world.send_request(client, ID)
     world.act(SEND)
-    world.core.ended(world.back.attempts.pop(), End(api.Outcome.TURNED_AWAY))
+    world.core.attempt_ended(world.back.attempts.pop(), AttemptEnd(api.Outcome.TURNED_AWAY))
     leave()
     world.act(SEND)
 
@@ -45,7 +45,7 @@
     """Wait until an attempt in doubt has been released."""
     world.send_request(client, ID)
     world.act(SEND)
-    world.core.ended(world.back.attempts.pop(), End(api.Outcome.CUT))
+    world.core.attempt_ended(world.back.attempts.pop(), AttemptEnd(api.Outcome.CUT))
     leave()
     world.clock.time_us += world.core.settings.release_wait_us
     world.act(SEND)
@@ -75,7 +75,7 @@
         return [SEND] if isinstance(event, api.NewCall) else []
 
     world.module.script = busy
-    world.core.feed.put(api.TimerDue(0))
+    world.core.event_queue.process(api.TimerDue(0))
 
 
 WAITS = (
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -255,7 +255,7 @@
     root = logging.getLogger()
     before, level = root.handlers[:], root.level
     try:
-        logs.set_up(form, "debug", sink)
+        logs.configure_logging(form, "debug", sink)
         logging.getLogger("x").info(
             "sent", extra={"call": "c1", "booker": "s0", "version": "1.2", "other": 3}
         )
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -17,7 +17,7 @@
 from bitternbeam.net.sip.settings import ConsulSettings, SipServer
 from tests.loop import parts, pause, reactor, until
 
-LIMITS = replace(Limits(), consul_retry_us=20 * MS, consul_least_us=5 * MS)
+LIMITS = replace(Limits(), consul_retry_us=20 * MS, consul_min_interval_us=5 * MS)
 READY, DRAINING, GONE = SwitchState.READY, SwitchState.DRAINING, SwitchState.GONE
 
 
--- a/tests/test_core_stateful.py
+++ b/tests/test_core_stateful.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from bitternbeam.core.ports import Decisions
+from bitternbeam.core.ports import DecisionModule
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
 from bitternbeam.limits import Limits
@@ -61,7 +61,7 @@
         self.world = CoreWorld(self.module(), FEW)
         self.servers = self.world.servers
 
-    def module(self) -> Decisions:
+    def module(self) -> DecisionModule:
         return Controller(SETTINGS, 3)
 
     @rule(name=PICK, left_us=st.sampled_from((1, 30 * MS, 400 * MS, 1 * SECOND, 3 * SECOND)), cell=PICK)
@@ -87,7 +87,7 @@
     @rule(pick=PICK)
     def release(self, pick: int) -> None:
         attempt = self.servers.standing[pick % len(self.servers.standing)]
-        self.world.core.release(attempt.call)
+        self.world.core.release(attempt.call_handle)
 
     @precondition(lambda self: self.servers.waiting)
     @rule(pick=PICK, comes_up=st.booleans())
@@ -164,7 +164,7 @@
 class RogueRequests(Requests):
     """A module that can't be relied on: the rules are the core's."""
 
-    def module(self) -> Decisions:
+    def module(self) -> DecisionModule:
         return Rogue(5)
 
 
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -44,10 +44,10 @@
     until(lambda: stage.back.pools["s0"].connections)
     close(server)
     deliver_request(stage, ID)
-    assert stage.core.by_uid[ID].out is not None
+    assert stage.core.by_uid[ID].current_attempt is not None
     written_us = stage.core.clock.now_us()
     until(lambda: stage.counters["outcomes.cut"] == 1)
-    assert stage.core.by_uid[ID].held_until_us >= written_us + stage.core.settings.release_wait_us
+    assert stage.core.by_uid[ID].release_wait_until_us >= written_us + stage.core.settings.release_wait_us
     until(lambda: stage.peers(ID))
     assert stage.core.clock.now_us() >= written_us + stage.core.settings.release_wait_us
     stage.peers(ID)[-1].send("running", ID, body="x")
@@ -110,7 +110,7 @@
 def test_a_fault_over_one_message_does_not_lose_the_answer_behind_it(stage: Stage) -> None:
     # The connection was closed over it, with every set-up on it.
     server = stage.set_up(ID)
-    usual = stage.core.stood
+    usual = stage.core.attempt_answered
     faults: list[str] = []
 
     def stood(attempt: Any, body: object) -> bool:
@@ -119,7 +119,7 @@
             raise RuntimeError("a fault of ours")
         return usual(attempt, body)
 
-    stage.core.stood = stood  # type: ignore[method-assign]
+    stage.core.attempt_answered = stood  # type: ignore[method-assign]
     pool = stage.back.pools["s0"]
     (connection,) = {leg.connection for leg in stage.back.requests.values()}
     pool.least_loaded = lambda: connection  # type: ignore[method-assign, assignment, return-value]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,7 @@
 
 from bitternbeam.config import ConfigError, read_config
 from bitternbeam.counters import Counters
-from bitternbeam.descriptors import LEAST_UPSTREAM, plan_descriptors
+from bitternbeam.descriptors import MIN_UPSTREAM, plan_descriptors
 from bitternbeam.net.accepting import AcceptBounds, AcceptingPort, open_port
 from tests.loop import pause, reactor, until
 from tests.test_board import Board, boards
@@ -42,10 +42,12 @@
             assert descriptors < 64
             continue
         assert plan.total <= descriptors
-        assert 3 * plan.callers >= descriptors and 2 * plan.callers <= descriptors + 1
-        assert plan.admin >= 4 and plan.callers_closing >= 4 and plan.upstream >= LEAST_UPSTREAM
-        assert min(plan.lingering, plan.over_limit) >= 1
-        assert plan.lingering + plan.over_limit < plan.callers_closing  # or none would be accepted meanwhile
+        assert 3 * plan.clients >= descriptors and 2 * plan.clients <= descriptors + 1
+        assert plan.admin >= 4 and plan.clients_closing >= 4 and plan.upstream >= MIN_UPSTREAM
+        assert min(plan.lingering, plan.excess_clients) >= 1
+        assert (
+            plan.lingering + plan.excess_clients < plan.clients_closing
+        )  # or none would be accepted meanwhile
         if descriptors >= 100:
             assert plan.upstream >= descriptors // 4
 
@@ -57,7 +59,10 @@
     path.write_text(json.dumps(raw | {"limits": raw["limits"] | {"sockets": descriptors}}))
     limits = read_config({"GW_CONFIG": str(path)}).limits
     plan = plan_descriptors(descriptors)
-    assert (limits.client_connections, limits.client_closing) == (plan.callers, plan.callers_closing)
+    assert (limits.client_connections, limits.client_closing_connections) == (
+        plan.clients,
+        plan.clients_closing,
+    )
     assert (limits.admin_connections, limits.upstream_connections) == (plan.admin, plan.upstream)
 
 
@@ -65,7 +70,7 @@
     path = tmp_path / "config.json"
     path.write_text((ROOT / "example/config.json").read_text())
     monkeypatch.setattr(resource, "getrlimit", lambda _which: (256, 256))
-    assert read_config({"GW_CONFIG": str(path)}).limits.client_connections == plan_descriptors(256).callers
+    assert read_config({"GW_CONFIG": str(path)}).limits.client_connections == plan_descriptors(256).clients
     monkeypatch.setattr(resource, "getrlimit", lambda _which: (20, 20))
     with pytest.raises(ConfigError, match=r"limits\.sockets: 20 descriptors are too few"):
         read_config({"GW_CONFIG": str(path)})
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -52,7 +52,7 @@
         self.watch.start(known, lambda: self.synced_at_us.append(self.clock.now_us()))
 
     def state(self, server: str = "s0") -> SwitchState | None:
-        return self.core.listed_as.get(server)
+        return self.core.states.get(server)
 
     def wait_count(self, name: str, count: int = 1) -> None:
         until(lambda: self.counters[name] >= count)
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -39,8 +39,8 @@
 def test_one_that_waits_is_said_to_wait(world: DownstreamWorld) -> None:
     client = world.connect_client()
     ref = world.send_request(client, ID)
-    assert world.front.still_waiting(ref) and world.front.still_waiting(ref)
-    assert not world.front.still_waiting(ref + (1 << 24)), "a handle of nobody's"
+    assert world.front.is_client_waiting(ref) and world.front.is_client_waiting(ref)
+    assert not world.front.is_client_waiting(ref + (1 << 24)), "a handle of nobody's"
 
 
 @leaves
@@ -56,7 +56,7 @@
         world.act(api.Send(ID, "s0", 0))
     leave(client)
     world.wait_for_input(connection)
-    assert not world.front.still_waiting(ref)
+    assert not world.front.is_client_waiting(ref)
     assert not world.core.calls and world.back.given_up == ([ID] if out else [])
     assert api.Withdrawn(ID) in world.module.events
 
@@ -76,7 +76,7 @@
         connection.transport.pauseProducing()
     end(client)
     world.wait_for_input(connection)
-    assert not world.front.still_waiting(ref) and not world.core.calls
+    assert not world.front.is_client_waiting(ref) and not world.core.calls
     if end is not RawClient.half_close:
         world.until(lambda: not world.front.connections)
 
@@ -113,7 +113,7 @@
 
     def freed(event: api.Event) -> list[api.Action]:
         if event == api.Withdrawn(ID):
-            asked.extend(world.front.still_waiting(refs[uid]) for uid in (ID2, ID3))
+            asked.extend(world.front.is_client_waiting(refs[uid]) for uid in (ID2, ID3))
         return []
 
     world.module.script = freed
@@ -132,7 +132,7 @@
 
     def freed(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Withdrawn):
-            asked.extend(world.front.still_waiting(ref) for ref in refs.values())
+            asked.extend(world.front.is_client_waiting(ref) for ref in refs.values())
         return []
 
     world.module.script = freed
@@ -149,7 +149,7 @@
         if isinstance(event, api.NewCall) and event.call == ID:
             client.send(cancel(ID3))
             world.wait_for_input(world.connection_of(client))
-            world.clock.time_us += world.limits.client_look_us
+            world.clock.time_us += world.limits.client_recheck_us
         return [api.Send(event.call, "s0", 0)] if isinstance(event, api.NewCall) else []
 
     world.module.script = slow
@@ -168,9 +168,9 @@
         if isinstance(event, api.NewCall):
             client.send(cancel(ID))
             world.wait_for_input(world.connection_of(client))
-            world.clock.time_us += world.limits.client_look_us
+            world.clock.time_us += world.limits.client_recheck_us
             found = world.front.requests.find(ID)
-            assert found and not world.front.still_waiting(found.ref)
+            assert found and not world.front.is_client_waiting(found.ref)
         return []
 
     world.module.script = left
@@ -213,7 +213,7 @@
     world.act(api.Send(ID, "s0", 0))
     client.send(cancel(ID) + cancel(ID))
     world.wait_for_input(world.connection_of(client))
-    assert world.core.stood(world.back.attempts[0], "v=1")
+    assert world.core.attempt_answered(world.back.attempts[0], "v=1")
     client.sync()
     assert client.messages_about(ID) == [("running", None), ("stop", 16)] and world.back.released == [ID]
 
--- a/tests/test_downstream_room.py
+++ b/tests/test_downstream_room.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from bitternbeam.core.calls import End
+from bitternbeam.core.calls import AttemptEnd
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.interface import Outcome
 from bitternbeam.limits import Limits
 from tests.downstream_world import ID, ID2, ID3, DownstreamWorld, RawClient, cancel, line, request
 
-LIMITS = Limits(client_connections=2, client_over_limit=2, client_requests=3, client_backlog=5)
+LIMITS = Limits(client_connections=2, client_excess_connections=2, client_requests=3, client_backlog=5)
 HALF = len(request(ID)) // 2
 
 
@@ -34,7 +34,7 @@
 
 
 def idle_timeout_us(world: DownstreamWorld, asked: bool) -> int:
-    return world.limits.client_idle_us if asked else world.limits.client_silent_us
+    return world.limits.client_idle_us if asked else world.limits.client_first_request_us
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["silent", "asked once"])
@@ -63,7 +63,7 @@
     world.advance_us(idle_timeout_us(world, asked) - 1)
     client.send(request(ID)[:HALF])
     world.until(lambda: connection.has_partial_message)
-    world.advance_us(world.limits.client_silent_us - 1)
+    world.advance_us(world.limits.client_first_request_us - 1)
     assert connection.is_open
     client.send(request(ID)[HALF:-1])
     world.until(lambda: connection.bytes_read >= len(request(ID)) - 1)
@@ -79,7 +79,7 @@
     world.until(lambda: connection.has_partial_message)
     client.send(request(ID)[HALF:])
     world.wait_for_input(connection)
-    world.advance_us(2 * world.limits.client_silent_us)
+    world.advance_us(2 * world.limits.client_first_request_us)
     accept_and_wait(world, client)
 
 
@@ -122,7 +122,9 @@
     world.connect_client().sync()
     world.until(lambda: clients[0].read() or clients[0].ended)
     assert clients[0].ended == "end" and not world.back.released
-    world.core.ended(world.back.attempts[0], End(Outcome.SERVED))  # its server tells of the end
+    world.core.attempt_ended(
+        world.back.attempts[0], AttemptEnd(Outcome.SERVED)
+    )  # its server tells of the end
     world.until(lambda: clients[1].messages_about(ID) == [("stop", 16)])
 
 
@@ -136,7 +138,7 @@
         world.until(lambda client=client: world.connection_of(client).has_partial_message)  # type: ignore[misc]
     clients[1].send(request(ID)[HALF:])
     accept_and_wait(world, clients[1])
-    world.advance_us(world.limits.client_young_us + 1)
+    world.advance_us(world.limits.client_new_us + 1)
     world.front.buildProtocol(None)
     clients[0].send(request(ID2)[HALF:])
     world.until(clients[1].read)
@@ -186,7 +188,7 @@
     for uid in (ID, ID2):
         world.send_request(world.connect_client(), uid)
     silent = world.connect_client()
-    world.advance_us(world.limits.client_young_us - 1)
+    world.advance_us(world.limits.client_new_us - 1)
     assert not silent.read()
     world.advance_us(1)
     world.until(silent.read)
@@ -256,7 +258,7 @@
     client.send(line("check", "t", reason=0) * (LIMITS.client_backlog + 1))
     world.until(lambda: not connection.is_open)
     assert world.counters["client.stalled"] == 1 and world.core.by_uid.keys() == {ID2}
-    assert world.front.still_waiting(ref)
+    assert world.front.is_client_waiting(ref)
 
 
 def test_at_the_end_of_the_process_all_are_closed_and_those_past_the_limit_too(
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -6,17 +6,17 @@
 
 from bitternbeam.decision.interface import SwitchState
 from bitternbeam.decision.state import Switch
-from bitternbeam.figures.counts import Figures, snapshot, summed
-from bitternbeam.figures.pool import avoided
+from bitternbeam.metrics.counts import RequestCounts, snapshot, sum_counts
+from bitternbeam.metrics.pool import count_ejected
 
 
 def test_counts_add_up_over_cores_and_pass_over_unknown_classes() -> None:
-    one, two = Figures(("voice", "data")), Figures(("voice",))
+    one, two = RequestCounts(("voice", "data")), RequestCounts(("voice",))
     events = [(one, "ok", "voice"), (one, "ok", "voice"), (two, "ok", "voice"), (one, "shed", "data")]
     events += [(two, "errors", "fax"), (two, "tries", "voice")]
     for figures, kind, name in events:
-        figures.count(kind, name)
-    total = summed([one, two])
+        figures.increment(kind, name)
+    total = sum_counts([one, two])
     assert total["ok"] == {"voice": 3, "data": 0}
     assert total["shed"] == {"voice": 0, "data": 1}
     assert total["errors"] == {"voice": 0, "data": 0}  # no caller adds a key
@@ -45,4 +45,4 @@
     switch = Switch("s0", 0, suspect=suspect, error_share=errors)
     switches = {"s0": switch} if known else {}
     sound = {"s1": Switch("s1", 0)}
-    assert avoided(switches | sound, {"s0": state, "s1": SwitchState.READY}) == counted
+    assert count_ejected(switches | sound, {"s0": state, "s1": SwitchState.READY}) == counted
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -74,13 +74,13 @@
     grants = {"members": {"m1": [1, 1, [0, 2, 1, 2]]}, "pairs": [["a", "b1"], ["b", "b1"]]}
     assert holdings.shown(Token(1, "m1"), grants | {"reign": "r", "rev": 1, "lasts_us": 20_000_000}, 2)
     first, other = (Offer(uid, "call", 0, 1, 0, "3111", None) for uid in ("1", "2"))
-    assert bounds.may_send("b1", False, first, 3) == bounds.may_send("b1", False, other, 3) == ""
+    assert bounds.try_send("b1", False, first, 3) == bounds.try_send("b1", False, other, 3) == ""
     bounds.configure(fleet("32"))  # both are b's by now
-    bounds.ended("b1", first)
-    bounds.unsent("b1", other)
-    bounds.ended("b1", other)  # nothing is left of it
+    bounds.attempt_ended("b1", first)
+    bounds.cancel_send("b1", other)
+    bounds.attempt_ended("b1", other)  # nothing is left of it
     assert holdings.status(4) == {"a": {"b1": [0, 2]}, "b": {"b1": [0, 2]}}
-    assert bounds.may_send("b1", False, first, 5) == "" and holdings.status(5)["b"] == {"b1": [1, 2]}
+    assert bounds.try_send("b1", False, first, 5) == "" and holdings.status(5)["b"] == {"b1": [1, 2]}
 
 
 HEAD = '[fleet]\nengine = "127.0.0.1:8500"\nname = "m1"\nprobes = ["b1=127.0.0.1:1"]\n'
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -50,7 +50,7 @@
         now
         for now in range(10 * S, 14 * S, S // 20)
         for one in fleet
-        if not one.may_send("b", False, None, now)
+        if not one.try_send("b", False, None, now)
     ]
     for seconds in (1, 2, 4):
         takes = 5.0 * seconds
@@ -74,7 +74,7 @@
         for one in fleet:
             if now % S == 0:
                 one.pressure("b", cold, True, now, cold=True)
-            if now >= idle_s * S and not one.may_send("b", False, None, now):
+            if now >= idle_s * S and not one.try_send("b", False, None, now):
                 arrived.append(now - idle_s * S)
     for seconds in (1, 2, 4):
         takes = 5.0 * seconds
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternbeam.core.calls import Attempt, End, Offer
+from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.core.control import CallControl
 from bitternbeam.decision import interface as api
 from bitternbeam.fleet.bounds import Bounds, Terms
@@ -286,10 +286,10 @@
     now, out = 0, 0
     for _ in range(1_000):
         now += 10_000
-        out += one.may_send("b", False, None, now) == ""
+        out += one.try_send("b", False, None, now) == ""
     assert 95 <= out <= 105
     now += 60 * S
-    assert sum(one.may_send("b", False, None, now) == "" for _ in range(100)) <= 6
+    assert sum(one.try_send("b", False, None, now) == "" for _ in range(100)) <= 6
 
 
 def test_an_old_record_is_split_by_the_largest_fleet() -> None:
@@ -305,20 +305,20 @@
 def test_no_retry_goes_to_a_pressed_booker_and_the_budget_holds_elsewhere() -> None:
     one = bounds(retry_floor_per_s=0.1)
     one.pressure("b", Pressure(None, 0.0, 4, True), True, 0)
-    assert one.may_send("b", True, None, 0) == "retry_to_pressed"
-    assert [one.may_send("c", True, None, 0) for _ in range(2)] == ["", "retry_budget"]
+    assert one.try_send("b", True, None, 0) == "retry_to_pressed"
+    assert [one.try_send("c", True, None, 0) for _ in range(2)] == ["", "retry_budget"]
     for _ in range(10):
-        assert one.may_send("c", False, None, 0) == ""
-    assert one.may_send("c", True, None, 0) == ""
+        assert one.try_send("c", False, None, 0) == ""
+    assert one.try_send("c", True, None, 0) == ""
 
 
 def test_reports_tell_what_was_done_since_the_last_one() -> None:
     one = bounds()
-    one.offered(None, 0)
-    one.may_send("b", False, None, 0)
-    one.answered("b", 0)
-    one.refused("c")
-    one.late("c")
+    one.admit(None, 0)
+    one.try_send("b", False, None, 0)
+    one.attempt_answered("b", 0)
+    one.attempt_refused("c")
+    one.attempt_timed_out("c")
     assert one.report(2 * S) == Report(2_000, 0.5, {"b": Traffic(0.5, 0.5), "c": Traffic(0, 0, 0.5, 0.5)})
     assert one.report(3 * S) == Report(3_000, 0.0, {})
 
@@ -351,8 +351,8 @@
         self.sent: list[Attempt] = []
         self.said: list[tuple[str, int]] = []
         entries = [api.SwitchEntry(name, 0, api.SwitchState.READY) for name in bookers]
-        self.core.listed(api.ListKind.COMPLETE, entries)
-        self.bounds = self.core.bounds = bounds(**terms)
+        self.core.update_bookers(api.ListKind.COMPLETE, entries)
+        self.bounds = self.core.limiter = bounds(**terms)
         self.now = deadlines.now_us
 
     def offer(self, number: int) -> None:
@@ -367,7 +367,7 @@
 
 
 def full(wires: Wires) -> None:
-    wires.core.ended(wires.sent[-1], End(api.Outcome.TURNED_AWAY, processor_full=True))
+    wires.core.attempt_ended(wires.sent[-1], AttemptEnd(api.Outcome.TURNED_AWAY, processor_full=True))
 
 
 def test_a_call_for_which_no_share_is_left_is_refused_at_once_and_reaches_nobody() -> None:
@@ -410,9 +410,9 @@
 def test_a_retry_past_the_budget_is_answered_at_once(outcome: api.Outcome, answer: str) -> None:
     wires = Wires(Script("a", "b", "c"), "a", "b", "c", retry_floor_per_s=0.0, retry_fraction=0.0)
     wires.offer(1)
-    wires.core.ended(wires.sent[-1], End(outcome))
+    wires.core.attempt_ended(wires.sent[-1], AttemptEnd(outcome))
     assert [one.booker for one in wires.sent] == ["a", "b"]  # a quiet controller may retry once
-    wires.core.ended(wires.sent[-1], End(outcome))
+    wires.core.attempt_ended(wires.sent[-1], AttemptEnd(outcome))
     assert [one.booker for one in wires.sent] == ["a", "b"] and wires.said == [(answer, 1)]
     assert len(wires.core.calls) == 0  # nothing is kept, nothing is answered twice
 
@@ -422,6 +422,6 @@
     for number in range(60):
         wires.offer(number)
         if len(wires.core.calls):
-            wires.core.ended(wires.sent[-1], End(api.Outcome.ERROR))
+            wires.core.attempt_ended(wires.sent[-1], AttemptEnd(api.Outcome.ERROR))
     assert len(wires.sent) < 20 and len(wires.said) == 60
     assert wires.counters["calls.throttled"] == 60 - len(wires.sent)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -30,7 +30,7 @@
 def test_core_and_module_know_no_wire() -> None:
     for name, used in imports().items():
         if name.startswith(
-            ("bitternbeam.core", "bitternbeam.decision", "bitternbeam.tables", "bitternbeam.figures")
+            ("bitternbeam.core", "bitternbeam.decision", "bitternbeam.tables", "bitternbeam.metrics")
         ):
             assert not [one for one in used if one.startswith(("twisted", "zope", "bitternbeam.net"))], name
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -173,5 +173,5 @@
 def test_the_timetable_keeps_its_order_and_ends_before_the_kill(longest_us: int) -> None:
     limits = Limits()
     table = Timetable.of(limits, longest_us)
-    assert limits.serve_on_us == table.drained_us <= table.answered_us <= table.closed_us
-    assert table.closed_us <= min(longest_us, limits.kill_deadline_us) + limits.kill_spare_us
+    assert limits.drain_us == table.drained_us <= table.answered_us <= table.closed_us
+    assert table.closed_us <= min(longest_us, limits.kill_deadline_us) + limits.kill_margin_us
--- a/tests/test_lost_decisions.py
+++ b/tests/test_lost_decisions.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from bitternbeam.core.bounds import Open
 from bitternbeam.core.calls import Offer
+from bitternbeam.core.limiters import UnlimitedTraffic
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
 from tests.core_world import CoreWorld
@@ -21,7 +21,7 @@
 def nothing_is_kept(world: CoreWorld, module: Controller) -> None:
     """Find nothing of any request in the core or in the module."""
     world.check()
-    assert not world.core.calls and not world.core.by_uid and not world.core.held
+    assert not world.core.calls and not world.core.by_uid and not world.core.held_ids
     assert not module.calls and not module.calls_by_timer
     assert not [switch.name for switch in module.switches.values() if switch.unanswered]
 
@@ -38,16 +38,16 @@
     nothing_is_kept(world, module)
 
 
-class Spent(Open):
+class Spent(UnlimitedTraffic):
     """Bounds that let the first attempt go and no other."""
 
-    def may_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
+    def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         return "budget_used_up" if retry else ""
 
 
 def test_a_request_that_its_retry_budget_ends_is_forgotten() -> None:
     world, module = decided()
-    world.core.bounds = Spent()
+    world.core.limiter = Spent()
     one = world.ask("r0")
     world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert one.answers == ["refused"]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,10 +29,10 @@
 ID, ID2 = "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655"
 LIMITS = Limits(
     client_connections=4,
-    booker_aside_us=300_000,
-    client_silent_us=400_000,
-    booker_lost_us=200_000,
-    booker_overtaken_us=30_000,
+    booker_quarantine_us=300_000,
+    client_first_request_us=400_000,
+    booker_removal_grace_us=200_000,
+    booker_skipped_answer_us=30_000,
 )
 LAUNCH_NUMBERS = count()
 EXTRAS = "dest:0;width:1;via:-1"
@@ -82,7 +82,7 @@
         listen(reactor, "127.0.0.1", 0, factory).addCallback(self.ports.append)
         listen(reactor, "127.0.0.1", 0, self.front).addCallback(self.ports.append)
         at = self.ports[0].getHost().port
-        self.core.listed(ListKind.CACHED, [SwitchEntry("s0", 0, SwitchState.READY)])
+        self.core.update_bookers(ListKind.CACHED, [SwitchEntry("s0", 0, SwitchState.READY)])
         self.back.update_endpoints([BookerEndpoint("s0", "127.0.0.1", at, SwitchState.READY, 0)], True)
         self.client = self.connect()
         until(lambda: self.bookers)
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize(("gateways", "most"), [(1, 12), (8, 12), (40, 2), (96, 1), (200, 1)])
 def test_a_large_fleets_gateways_leave_each_other_connections(gateways: int, most: int) -> None:
     # One burst filled a booker's connections with spares that were kept; other gateways had none, for good.
-    crowded = Stage(LIMITS.shared_by(gateways))
+    crowded = Stage(LIMITS.share_of_fleet(gateways))
     uids = [f"{number:016x}" for number in range(30)]
     for uid in uids:
         crowded.set_up(uid)
@@ -413,7 +413,7 @@
     stage.set_up(ID)
     until(lambda: len(stage.bookers) == 2)
     told: list[Any] = []
-    stage.core.reported = lambda booker, report: told.append((booker, report.free_lines))  # type: ignore[method-assign]
+    stage.core.report_received = lambda booker, report: told.append((booker, report.free_lines))  # type: ignore[method-assign]
     stage.bookers[teller].send("usage", "0" * 16, meta={"load": "free:0;size:9"})
     until(lambda: told)
     for booker in stage.bookers:
@@ -440,14 +440,14 @@
     # Where load is told in answers to probes alone, nothing carried the module's probes out.
     (booker,) = stage.bookers
     got: list[float | None] = []
-    stage.core.probed = lambda booker, took_us, report: got.append(report.shed_share if report else None)  # type: ignore[method-assign]
+    stage.core.probe_ended = lambda booker, took_us, report: got.append(report.shed_share if report else None)  # type: ignore[method-assign]
     probe = api.Probe("s0")
-    stage.core.act(probe)
+    stage.core.execute_action(probe)
     pause(0.05)
     assert not booker.got, "a probe without leave"
     stage.core.settings = replace(SETTINGS, may_probe=True)
-    stage.core.act(probe)
-    stage.core.act(probe)
+    stage.core.execute_action(probe)
+    stage.core.execute_action(probe)
     until(lambda: booker.got)
     asked = [(one["kind"], one["reason"]) for one in booker.got]
     assert asked == [("check", 1)], "one probe out a booker"
@@ -456,21 +456,21 @@
     until(lambda: stage.counters[counted])
     pause(0.05)
     assert got == told
-    stage.core.act(probe)
+    stage.core.execute_action(probe)
     until(lambda: len(booker.got) == 2)  # and then the next may go
-    stage.core.listed(ListKind.CHANGES, [SwitchEntry("s0", 0, SwitchState.DRAINING)])
+    stage.core.update_bookers(ListKind.CHANGES, [SwitchEntry("s0", 0, SwitchState.DRAINING)])
     booker.send("checked", booker.got[1]["uid"], meta=REPORT, reason=1)
     until(lambda: len(got) == len(told) + 1)
-    stage.core.act(probe)
+    stage.core.execute_action(probe)
     pause(0.05)
     assert len(booker.got) == 2, "a probe to one that drains"
 
 
 def test_a_lost_probe_of_a_booker_that_is_heard_tells_no_wait(stage: Stage) -> None:
     got: list[Any] = []
-    stage.core.probed = lambda *told: got.append(told)  # type: ignore[method-assign]
+    stage.core.probe_ended = lambda *told: got.append(told)  # type: ignore[method-assign]
     stage.core.settings = replace(SETTINGS, may_probe=True)
-    stage.core.act(api.Probe("s0"))
+    stage.core.execute_action(api.Probe("s0"))
     until(lambda: stage.bookers[0].got)
     stage.bookers[0].send("usage", "0" * 16, meta={"load": "free:3;size:9"})
     until(lambda: stage.counters["booker.probes_lost"])
@@ -571,7 +571,7 @@
         uid, name, caller = f"{number:016x}", f"s{number}", stage.connect()
 
         def tell(state: SwitchState, name: str = name, cell: int = number) -> None:
-            stage.core.listed(ListKind.CHANGES, [SwitchEntry(name, cell, state)])
+            stage.core.update_bookers(ListKind.CHANGES, [SwitchEntry(name, cell, state)])
             stage.back.update_endpoints([BookerEndpoint(name, "127.0.0.1", port, state, 0)], False)
 
         tell(SwitchState.READY)
@@ -590,7 +590,7 @@
     assert not stage.back.requests and not stage.core.calls and not stage.core.by_uid
     assert len(stage.front.requests) == 0 and not stage.front.idle_connections.idle
     assert not any(stage.front.requests.find(f"{number:016x}") for number in range(1, 6))
-    assert not stage.module.calls and not stage.module.calls_by_timer and list(stage.core.listed_as) == ["s0"]
+    assert not stage.module.calls and not stage.module.calls_by_timer and list(stage.core.states) == ["s0"]
     assert list(stage.module.switches) == ["s0"] and not stage.module.first_try_times_us.keys() - {"n"}
 
 
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -45,7 +45,7 @@
     tmp_path: Path, code: str, away_us: int | None
 ) -> None:
     one, counters = gate(tmp_path, answering(code))
-    assert one.offered("low", 0, 1_000_000, False) == away_us and counters["plugin.offered"] == 1
+    assert one.check_call("low", 0, 1_000_000, False) == away_us and counters["plugin.offered"] == 1
 
 
 def test_it_sees_the_figures_of_calls_and_of_their_ends(tmp_path: Path) -> None:
@@ -56,9 +56,9 @@
         " (then (global.get $at)) (else (i32.add (i32.mul (local.get 0) (i32.const 100)) (local.get 1)))))"
     )
     one, _ = gate(tmp_path, keep + tell)
-    assert one.offered("high", 3, 1_000_000, False) == 103_000
-    one.ended("low", Outcome.CUT, 2, 44_000)
-    assert one.offered("low", 0, 1_000_000, True) == 544_000
+    assert one.check_call("high", 3, 1_000_000, False) == 103_000
+    one.call_ended("low", Outcome.CUT, 2, 44_000)
+    assert one.check_call("low", 0, 1_000_000, True) == 544_000
 
 
 @pytest.mark.parametrize(
@@ -75,15 +75,15 @@
 ) -> None:
     # A plug-in that hangs would stop every call; one asked again after a trap could refuse them all.
     one, counters = gate(tmp_path, answering(code, more))
-    assert [one.offered("low", 0, 1_000_000, False) for _ in range(3)] == [None] * 3
-    one.ended("low", Outcome.SERVED, 1, 5)
+    assert [one.check_call("low", 0, 1_000_000, False) for _ in range(3)] == [None] * 3
+    one.call_ended("low", Outcome.SERVED, 1, 5)
     assert counters == {"plugin.disabled": 1}
 
 
 def test_its_memory_does_not_grow_past_the_limit(tmp_path: Path) -> None:
     grow = answering("(memory.grow (i32.const 64))", "(memory 1)")
     assert (
-        gate(tmp_path, grow, memory_bytes=128 * 1024)[0].offered("low", 0, 1, False) is None
+        gate(tmp_path, grow, memory_bytes=128 * 1024)[0].check_call("low", 0, 1, False) is None
     )  # -1: it failed
     with pytest.raises(ConfigError, match=r"plugin\.file"):
         gate(tmp_path, answering("i32.const 0", "(memory 64)"), memory_bytes=128 * 1024)
@@ -123,7 +123,7 @@
     def probe(self, booker: str) -> None:
         raise AssertionError(booker)
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         return True
 
     def release(self, attempt: Attempt) -> None:
@@ -137,8 +137,10 @@
     core = CallControl(Controller(SETTINGS, 1), SETTINGS, deadlines, Limits(), counters)
     front = Front()
     core.attach(Back())
-    core.listed(ListKind.CACHED, [SwitchEntry("s0", 0, SwitchState.READY)])
-    core.gate = WasmGate(PluginSettings(ROOT / "example/plugin.wat"), CLASSES, 2_000_000, counters)
+    core.update_bookers(ListKind.CACHED, [SwitchEntry("s0", 0, SwitchState.READY)])
+    core.admission_filter = WasmGate(
+        PluginSettings(ROOT / "example/plugin.wat"), CLASSES, 2_000_000, counters
+    )
     now_us = deadlines.now_us()
     for number in range(6):
         offer = Offer(f"c{number}", "low", 0, 3_000_000, now_us, f"n{number}", "", ref=number, redial=True)
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -28,7 +28,7 @@
 def block_past_the_pause(stage: Stage) -> None:
     """Stand still until the timer of a request that waits for a release is due."""
     deadlines = stage.front.deadlines
-    block_loop_until(deadlines, stage.core.by_uid[ID].held_until_us + 5 * MS)
+    block_loop_until(deadlines, stage.core.by_uid[ID].release_wait_until_us + 5 * MS)
 
 
 def cancelled(stage: Stage) -> None:
@@ -65,10 +65,10 @@
 
 def test_an_answer_that_came_in_time_goes_before_the_deadline_that_is_due_with_it(stage: Stage) -> None:
     server = stage.set_up(ID)
-    attempt = stage.core.by_uid[ID].out
+    attempt = stage.core.by_uid[ID].current_attempt
     assert attempt is not None
     write_to_socket(server, "running", ID, body="x")
-    block_loop_until(stage.front.deadlines, attempt.sent_us + attempt.left_us + 5 * MS)
+    block_loop_until(stage.front.deadlines, attempt.decided_us + attempt.timeout_us + 5 * MS)
     until(lambda: stage.client.kinds(ID))
     assert stage.client.kinds(ID) == [("running", None)]
     assert server.kinds(ID) == [("launch", None)]  # and it was not given up
@@ -93,7 +93,7 @@
     until(lambda: stage.peers(ID))
     left_ms = int(stage.peers(ID)[0].got[-1]["meta"]["left"])
     assert 0 < left_ms <= 600
-    assert stage.core.by_uid[ID].end_us < sent_us + 1_000 * MS  # and its answer comes in time for it
+    assert stage.core.by_uid[ID].answer_by_us < sent_us + 1_000 * MS  # and its answer comes in time for it
     if isinstance(peer, socket.socket):
         peer.close()
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -52,10 +52,10 @@
 def test_deadlines_run_in_order_and_a_cancelled_one_never() -> None:
     hand, ran = Hand(), list[str]()
     deadlines = Deadlines(hand)
-    deadlines.at(30, lambda: ran.append("c"))
-    deadlines.at(10, lambda: ran.append("a"))
-    dropped = deadlines.at(20, lambda: ran.append("x"))
-    deadlines.at(20, lambda: ran.append("b"))
+    deadlines.call_at(30, lambda: ran.append("c"))
+    deadlines.call_at(10, lambda: ran.append("a"))
+    dropped = deadlines.call_at(20, lambda: ran.append("x"))
+    deadlines.call_at(20, lambda: ran.append("b"))
     assert hand.armed == 10
     dropped.cancel()
     dropped.cancel()
@@ -69,10 +69,10 @@
 
     def first() -> None:
         other.cancel()
-        deadlines.at(10, lambda: ran.append("next"))
+        deadlines.call_at(10, lambda: ran.append("next"))
 
-    deadlines.at(10, first)
-    other = deadlines.at(10, lambda: ran.append("other"))
+    deadlines.call_at(10, first)
+    other = deadlines.call_at(10, lambda: ran.append("other"))
     hand.go(10)
     assert ran == ["next"] and len(deadlines) == 0
 
@@ -80,7 +80,7 @@
 def test_cancelled_entries_are_swept_out() -> None:
     deadlines = Deadlines(Hand())
     for n in range(4 * COMPACT_ABOVE):
-        deadlines.at(n, lambda: None).cancel()
+        deadlines.call_at(n, lambda: None).cancel()
     assert len(deadlines) == 0 and len(deadlines._heap) <= COMPACT_ABOVE
 
 
@@ -88,9 +88,9 @@
     # All that are due have left the structure: the calls behind the rest would never be answered.
     hand, ran = Hand(), list[str]()
     deadlines = Deadlines(hand)
-    deadlines.at(10, lambda: ran.append("a"))
-    deadlines.at(10, lambda: ran.append(str(1 // 0)))
-    deadlines.at(10, lambda: ran.append("b"))
-    deadlines.at(20, lambda: ran.append("c"))
+    deadlines.call_at(10, lambda: ran.append("a"))
+    deadlines.call_at(10, lambda: ran.append(str(1 // 0)))
+    deadlines.call_at(10, lambda: ran.append("b"))
+    deadlines.call_at(20, lambda: ran.append("c"))
     hand.go(30)
     assert ran == ["a", "b", "c"]
--- a/tests/test_upstream_descriptors.py
+++ b/tests/test_upstream_descriptors.py
@@ -10,7 +10,7 @@
 import pytest
 from twisted.internet.protocol import Factory
 
-from bitternbeam.core.calls import Attempt, End, Offer
+from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.counters import Counters
 from bitternbeam.decision.interface import Outcome, SwitchState
 from bitternbeam.limits import Limits
@@ -28,23 +28,23 @@
         self.ends: list[tuple[str, Outcome]] = []
         self.accepted: list[str] = []
 
-    def written(self, attempt: Attempt) -> None:
+    def attempt_written(self, attempt: Attempt) -> None:
         pass
 
     def may_write(self, attempt: Attempt) -> bool:
         return True
 
-    def stood(self, attempt: Attempt, body: object) -> bool:
+    def attempt_answered(self, attempt: Attempt, body: object) -> bool:
         self.accepted.append(attempt.offer.uid)
         return True
 
-    def ended(self, attempt: Attempt, end: End) -> None:
+    def attempt_ended(self, attempt: Attempt, end: AttemptEnd) -> None:
         self.ends.append((attempt.offer.uid, end.outcome))
 
-    def reported(self, *_: Any) -> None:
+    def report_received(self, *_: Any) -> None:
         pass
 
-    probed = reported
+    probe_ended = report_received
 
 
 class UpstreamHarness:
@@ -107,7 +107,7 @@
     rig.list_all()
     until(lambda: rig.open_connections() == [1, 1, 0])
     rig.back.update_endpoints([rig.endpoint(0, SwitchState.GONE)], False)
-    rig.clock.advance(rig.limits.booker_lost_us)
+    rig.clock.advance(rig.limits.booker_removal_grace_us)
     until(lambda: rig.back.descriptor_quota.in_use == 1)
     rig.clock.advance(rig.limits.booker_retry_us)
     until(lambda: rig.open_connections() == [0, 1, 1])
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -264,11 +264,9 @@
     # The engine forgot all and the owner is gone; one that has just started owns the kind.
     low = lead(third, "tenant", 1)
     publish(third, "tenant", low, second)
-    assert second.bounds.offered(offer("acme"), 1) is not None
+    assert second.bounds.admit(offer("acme"), 1) is not None
     third.heard({"m1": second.reports(S)}, S)
-    assert (
-        third.bounds.offered(offer("acme"), S) is not None and third.bounds.offered(offer("bolt"), S) is None
-    )
+    assert third.bounds.admit(offer("acme"), S) is not None and third.bounds.admit(offer("bolt"), S) is None
     assert third.kept["tenant"].claim.seen >= 7
     assert [row[0] for row in third.board.record_value("tenant")["rows"]] == ["acme"]
 
@@ -284,13 +282,13 @@
         token = lead(one, kind, 2)
         one.kept[kind].judge = lambda subject=subject: [Detection(subject, "why", 30_000)]
         one.kept[kind].act(token, 0)
-    assert one.bounds.offered(offer("acme"), 10 * S) == 20 * S
-    assert one.bounds.dry(offer("x"), 29 * S) == {"b0"} and one.bounds.may_send(
+    assert one.bounds.admit(offer("acme"), 10 * S) == 20 * S
+    assert one.bounds.exhausted_bookers(offer("x"), 29 * S) == {"b0"} and one.bounds.try_send(
         "b0", False, offer("x"), 29 * S
     )
-    assert one.bounds.may_send("b1", False, offer("x"), 29 * S) == ""
-    assert one.bounds.offered(offer("acme"), 30 * S) is None
-    assert one.bounds.dry(offer("x"), 30 * S) == frozenset() and not one.bounds.may_send(
+    assert one.bounds.try_send("b1", False, offer("x"), 29 * S) == ""
+    assert one.bounds.admit(offer("acme"), 30 * S) is None
+    assert one.bounds.exhausted_bookers(offer("x"), 30 * S) == frozenset() and not one.bounds.try_send(
         "b0", False, offer("x"), 30 * S
     )
 
@@ -305,15 +303,15 @@
     home.waker.wait(40 * S)
     now = late.bench.deadlines.now_us()
     late.kept["tenant"].shown({late.kept["tenant"].key: KvEntry(text, 1, 1, None)}, now)
-    assert late.bounds.offered(offer("acme"), now) is not None
-    assert late.bounds.offered(offer("acme"), now + 23 * S) is None
+    assert late.bounds.admit(offer("acme"), now) is not None
+    assert late.bounds.admit(offer("acme"), now + 23 * S) is None
     assert late.status()["heard"]["tenant"] is False
 
 
 def test_attempts_from_before_a_verdict_are_not_told_after_it() -> None:
     one = extension(Home(), "m1")
     for booker in ("b0", "b1"):
-        one.bounds.late(booker)
+        one.bounds.attempt_timed_out(booker)
     token = lead(one, "booker", 1)
     one.kept["booker"].judge = lambda: [Detection("b0", "why", 30_000)]
     one.kept["booker"].act(token, 0)
