--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,9 +15,9 @@
 from bitternbeam.configuration.negotiation import Bounds, Negotiation
 from bitternbeam.configuration.probation import Before, Judge, Tally, Terms, Verdict, wilson
 from bitternbeam.configuration.schema import ClassLimits, Group, Route
-from bitternbeam.core.calls import Attempt, End, Offer
+from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.core.control import CallControl
-from bitternbeam.core.ports import Decisions
+from bitternbeam.core.ports import DecisionModule
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
 from bitternbeam.limits import Limits
@@ -221,7 +221,7 @@
     def probe(self, booker: str) -> None:
         raise AssertionError(booker)
 
-    def give_up(self, attempt: Attempt) -> bool:
+    def cancel_attempt(self, attempt: Attempt) -> bool:
         if attempt in self.out:
             self.out.remove(attempt)
         return True
@@ -229,35 +229,35 @@
     def release(self, attempt: Attempt) -> None:
         pass
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         self.told.setdefault(ref, []).append("answered")
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         self.told.setdefault(ref, []).append(f"refused {stay_away_us}")
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         self.told.setdefault(ref, []).append("failed")
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         pass
 
-    def released(self, ref: int, outcome: api.Outcome) -> None:
+    def send_release(self, ref: int, outcome: api.Outcome) -> None:
         pass
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         return True
 
 
 class Served:
     """A core whose calls are decided under a keeper's versions."""
 
-    def __init__(self, text: str = FIRST, module: Decisions | None = None) -> None:
+    def __init__(self, text: str = FIRST, module: DecisionModule | None = None) -> None:
         self.home = Home(text)
         self.bookers = Bookers()
         module = module or Controller(SETTINGS, 3)
         self.core = CallControl(module, SETTINGS, self.home.deadlines, Limits(), self.home.counters)
         self.core.attach(self.bookers)
-        self.core.policies = self.home.pinning
+        self.core.plan_provider = self.home.pinning
         self.list("s0", "s1", "s2", "s3")
         self.count = 0
         self.plans: dict[str, set[str]] = {}  # versions that a call's attempts were sent under
@@ -265,7 +265,7 @@
     def list(self, *names: str) -> None:
         ready = api.SwitchState.READY
         listed = [api.SwitchEntry(name, int(name[1:]), ready) for name in names]
-        self.core.listed(api.ListKind.COMPLETE, listed)
+        self.core.update_bookers(api.ListKind.COMPLETE, listed)
 
     def call(
         self, kind: str = "low", number: str = "+361", caller: str = "", left_us: int = 3 * SECOND
@@ -281,7 +281,7 @@
             number + str(self.count),
             "",
             self.count,
-            caller=caller,
+            client=caller,
         )
         return self.core.offer(self.bookers, offer)
 
@@ -289,10 +289,10 @@
         """Let a set-up be answered (None), or fail."""
         self.bookers.out.remove(attempt)
         if outcome is None:
-            self.core.stood(attempt, "")
-            self.core.ended(attempt, End(api.Outcome.SERVED))
+            self.core.attempt_answered(attempt, "")
+            self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.SERVED))
         else:
-            self.core.ended(attempt, End(outcome))
+            self.core.attempt_ended(attempt, AttemptEnd(outcome))
 
 
 def traffic(served: Served, calls: int, dead: frozenset[str]) -> None:
@@ -337,13 +337,13 @@
     served = Served('[group.a]\nbookers = ["s0"]\n[group.b]\nbookers = ["s1"]\n[route.r]\ngroups = ["a"]\n')
     served.call()
     (attempt,) = served.bookers.out
-    served.core.stood(attempt, "")
+    served.core.attempt_answered(attempt, "")
     served.home.offer(Number(1, 1), {("route", "r"): Route(("b",)), ("group", "a"): None}, whole=False)
     assert served.bookers.told[1] == ["answered"] and len(served.core.calls) == 1
     for _ in range(5):
         served.call()
     assert {one.booker for one in served.bookers.out[1:]} == {"s1"}
-    served.core.ended(attempt, End(api.Outcome.SERVED))
+    served.core.attempt_ended(attempt, AttemptEnd(api.Outcome.SERVED))
     assert served.home.pinning.open == {Number(1, 1): 5}
 
 
@@ -368,7 +368,7 @@
     served = Served("[class.low]\nattempts = 1\nanswer_ms = 800\n")
     served.call()
     (attempt,) = served.bookers.out
-    assert attempt.left_us < 800 * MS
+    assert attempt.timeout_us < 800 * MS
     served.end(attempt, api.Outcome.TURNED_AWAY)
     assert served.bookers.told[1][0].startswith("refused") and not served.bookers.out
 
--- a/tests/test_waiting_attempts.py
+++ b/tests/test_waiting_attempts.py
@@ -36,7 +36,7 @@
         self, state: SwitchState, *, started_us: int = 0, port: int = 0, only_core: bool = False
     ) -> None:
         """Bring news of the server's state, start or address."""
-        self.core.listed(ListKind.CHANGES, [SwitchEntry("s0", 0, state, started_us)])
+        self.core.update_bookers(ListKind.CHANGES, [SwitchEntry("s0", 0, state, started_us)])
         if not only_core:
             place = BookerEndpoint("s0", "127.0.0.1", port or self.address, state, started_us)
             self.back.update_endpoints([place], False)
@@ -49,7 +49,7 @@
         port = reactor.listenTCP(0, factory, interface="127.0.0.1")
         self.ports.append(port)
         held, self.connects.waiting = self.connects.waiting, []
-        self.core.listed(ListKind.CHANGES, [SwitchEntry("s1", 1, READY)])
+        self.core.update_bookers(ListKind.CHANGES, [SwitchEntry("s1", 1, READY)])
         self.back.update_endpoints([BookerEndpoint("s1", "127.0.0.1", port.getHost().port, READY, 0)], False)
         self.connects.complete_all()
         self.connects.waiting = held
@@ -103,7 +103,7 @@
     stage.tell(state)
     until(lambda: [one for one in other if ID in one.launches])
     assert not stage.counters["outcomes.cut"] and stage.counters["outcomes.not_sent"] == 1
-    assert stage.core.by_uid[ID].held_until_us == 0 < due_us
+    assert stage.core.by_uid[ID].release_wait_until_us == 0 < due_us
     stage.connects.complete_all()
     pause(0.05)
     assert not stage.peers(ID)
@@ -134,7 +134,7 @@
 
 def test_a_client_that_has_left_is_not_sent_on(stage: Waiting) -> None:
     stage.wait()
-    stage.front.still_waiting = lambda ref: False  # type: ignore[method-assign]
+    stage.front.is_client_waiting = lambda ref: False  # type: ignore[method-assign]
     stage.nothing_is_written()
     assert stage.counters["sends.stale.client_left"] == 1
     assert not stage.core.calls and not stage.module.calls and not stage.back.requests
@@ -160,7 +160,7 @@
 ) -> None:
     stage.wait(left="400")
     (leg,) = stage.back.requests.values()
-    while stage.core.clock.now_us() < stage.core.by_uid[ID].end_us:
+    while stage.core.clock.now_us() < stage.core.by_uid[ID].answer_by_us:
         pass
     assert not stage.core.may_write(leg.attempt)  # its timer is due, and has not had its turn
     assert stage.counters["sends.stale.too_late"] == 1
@@ -171,7 +171,7 @@
 def test_the_deadline_passed_on_is_computed_when_the_attempt_is_written(stage: Waiting) -> None:
     stage.wait(left="1000")
     call = stage.core.by_uid[ID]
-    while stage.core.clock.now_us() < call.offer.taken_us + 500_000:
+    while stage.core.clock.now_us() < call.offer.received_us + 500_000:
         pass
     stage.connects.complete_all()
     until(lambda: stage.peers(ID))
