--- a/bitternbeam/configuration/returns.py
+++ b/bitternbeam/configuration/returns.py
@@ -11,7 +11,7 @@
 from bitternbeam.configuration.limits import LimitTable
 from bitternbeam.configuration.schema import Entry, Name, Text
 from bitternbeam.fleet.limits.terms import SCOPES
-from bitternbeam.fleet.returns.settings import ReturnSettings, faults
+from bitternbeam.fleet.returns.settings import ReconnectSettings, faults
 
 Millis = Annotated[int, Meta(ge=1, le=86_400_000)]
 
@@ -37,9 +37,9 @@
     purse_ms: Annotated[Millis, Meta(description="of a member's part, kept for those at their slots")] = 500
 
 
-def returns_of(table: ReturnTable, amount: float, period_ms: int, cap_ms: int) -> ReturnSettings:
+def returns_of(table: ReturnTable, amount: float, period_ms: int, cap_ms: int) -> ReconnectSettings:
     """Return the pacing that a table tells; `amount` a second is its limit's, `cap_ms` what callers heed."""
-    return ReturnSettings(**structs.asdict(table), budget_per_s=amount, period_ms=period_ms, cap_ms=cap_ms)
+    return ReconnectSettings(**structs.asdict(table), budget_per_s=amount, period_ms=period_ms, cap_ms=cap_ms)
 
 
 def return_faults(
--- a/bitternbeam/fleet/returns/outcome.py
+++ b/bitternbeam/fleet/returns/outcome.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 
-class Budget(Protocol):
+class ReconnectBudget(Protocol):
     """A member's part of the fleet's budget for returns."""
 
-    def may(self, now_us: int) -> bool:
+    def try_take(self, now_us: int) -> bool:
         """Take one return from it, if it holds one."""
         ...
 
-    def rate(self, now_us: int) -> float:
+    def member_rate(self, now_us: int) -> float:
         """Return this member's part, a second."""
         ...
 
@@ -28,10 +28,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class RetryAfter:
     """Turn it away, to come again after `us` microseconds."""
 
-    us: int
+    delay_us: int
 
 
 ADMIT = Admit()
--- a/bitternbeam/fleet/returns/settings.py
+++ b/bitternbeam/fleet/returns/settings.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReturnSettings:
+class ReconnectSettings:
     """What paces returns; times are milliseconds, budgets returns a second of the whole fleet."""
 
     limit: str = ""  # name of the limit of kind "rate" that is the budget
@@ -28,7 +28,7 @@
     purse_ms: int = 500  # so much of a member's part is kept ready for those at their slots
 
     @property
-    def step_ms(self) -> int:
+    def max_wait_ms(self) -> int:
         """Return the longest wait that is told."""
         return min(self.horizon_ms, self.cap_ms)
 
@@ -39,7 +39,7 @@
         return self.classes.index(call_class) if call_class in self.classes else None
 
 
-def faults(settings: ReturnSettings) -> list[tuple[str, str]]:
+def faults(settings: ReconnectSettings) -> list[tuple[str, str]]:
     """Return what cannot work, as (key, message)."""
     found = []
     if not settings.limit:
--- a/bitternbeam/fleet/returns/slots.py
+++ b/bitternbeam/fleet/returns/slots.py
@@ -21,64 +21,64 @@
 from struct import Struct
 from typing import NamedTuple
 
-KNOTS = 16  # of one curve; the oldest go first, past their time by then
-EVERY = 0.9  # of the longest wait: turns of one client
-WHOLE = 1 << 64
-WORDS = Struct(">4Q")
-LEAST = 1.0  # clients of an urgency that nobody was seen of: its slots are spread for one
+MAX_KNOTS = 16  # of one curve; the oldest go first, past their time by then
+CHECK_IN_SHARE = 0.9  # of the longest wait: turns of one client
+HASH_RANGE = 1 << 64
+HASH_WORDS = Struct(">4Q")
+MIN_CLASS_CLIENTS = 1.0  # clients of an urgency that nobody was seen of: its slots are spread for one
 
 Knot = tuple[float, float]
 
 
-class Place(NamedTuple):
+class ClientHash(NamedTuple):
     """A client's hash in one epoch."""
 
     quantiles: tuple[float, float]  # in plans of even and of odd number
     phase: float  # of its turns, 0 to below 1
-    mix: int  # 64 bits, for its strikes
+    sketch_hash: int  # 64 bits, for its strikes
 
 
-def place(epoch: str, client: str) -> Place:
+def hash_in_window(epoch: str, client: str) -> ClientHash:
     """Return where a client stands in an epoch."""
     whole = hashlib.blake2b(f"{epoch}\x00{client}".encode(), digest_size=32).digest()
-    first, second, third, fourth = WORDS.unpack(whole)
-    return Place((first / WHOLE, second / WHOLE), third / WHOLE, fourth)
+    first, second, third, fourth = HASH_WORDS.unpack(whole)
+    return ClientHash((first / HASH_RANGE, second / HASH_RANGE), third / HASH_RANGE, fourth)
 
 
-def client_mix(client: str) -> int:
+def hash_client(client: str) -> int:
     """Return 64 bits for counting clients, alike in all epochs."""
     return int.from_bytes(hashlib.blake2b(client.encode(), digest_size=8).digest(), "big")
 
 
-def turn_wait(phase: float, wall_ms: int, step_ms: int) -> int:
+def check_in_wait_ms(phase: float, wall_ms: int, step_ms: int) -> int:
     """Return the wait, in ms, until the client's last turn that it can be told now."""
-    every = EVERY * step_ms
+    every = CHECK_IN_SHARE * step_ms
     last = math.floor((wall_ms + step_ms) / every - phase)
     return max(1, math.ceil((last + phase) * every) - wall_ms)
 
 
-def at_turn(phase: float, wall_ms: int, step_ms: int, before_ms: int, after_ms: int) -> bool:
+def is_check_in(phase: float, wall_ms: int, step_ms: int, before_ms: int, after_ms: int) -> bool:
     """Tell whether one of the client's turns is now, `before` too early or `after` too late at the most."""
-    every = EVERY * step_ms
+    every = CHECK_IN_SHARE * step_ms
     since = wall_ms - phase * every
     off = since - math.floor(since / every) * every
     return off <= after_ms or every - off <= before_ms
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class SlotPlan:
     """The slots of one wave; the clients of each urgency, and their curve."""
 
     number: int
     clients: tuple[float, ...]
     curves: tuple[tuple[Knot, ...], ...]
 
-    def slot_ms(self, rank: int, where: Place) -> int:
+    def slot_ms(self, rank: int, where: ClientHash) -> int:
         """Return a client's slot."""
-        return self._time(self.curves[min(rank, len(self.curves) - 1)], where.quantiles[self.number % 2])
+        return self._time_at(self.curves[min(rank, len(self.curves) - 1)], where.quantiles[self.number % 2])
 
     @staticmethod
-    def _time(curve: tuple[Knot, ...], quantile: float) -> int:
+    def _time_at(curve: tuple[Knot, ...], quantile: float) -> int:
         at = bisect_left(curve, quantile, key=lambda knot: knot[0])
         if at == 0:
             return int(curve[0][1])
@@ -92,7 +92,7 @@
         """Return the time of the last slot."""
         return max(curve[-1][1] for curve in self.curves)
 
-    def passed(self, rank: int, wall_ms: float) -> float:
+    def elapsed_share(self, rank: int, wall_ms: float) -> float:
         """Return what part of an urgency's slots is over at a time."""
         curve = self.curves[rank]
         done = 0.0
@@ -103,37 +103,37 @@
                 done = q0 + (q1 - q0) * (wall_ms - t0) / (t1 - t0)
         return done
 
-    def gone(self, wall_ms: float) -> float:
+    def elapsed_slots(self, wall_ms: float) -> float:
         """Return how many slots are over at a time."""
-        return sum(count * self.passed(rank, wall_ms) for rank, count in enumerate(self.clients))
+        return sum(count * self.elapsed_share(rank, wall_ms) for rank, count in enumerate(self.clients))
 
 
-def spread(
+def plan_slots(
     number: int, start_ms: float, clients: tuple[float, ...], *, per_ms: float, most_ms: float
-) -> Plan:
+) -> SlotPlan:
     """Return a plan from `start_ms` on, urgency after urgency, at a rate of slots a ms."""
-    counts = tuple(max(LEAST, one) for one in clients)
+    counts = tuple(max(MIN_CLASS_CLIENTS, one) for one in clients)
     per_ms = max(per_ms, sum(counts) / most_ms)
     curves = []
     for count in counts:
         ends_ms = start_ms + count / per_ms
         curves.append(((0.0, start_ms), (1.0, ends_ms)))
         start_ms = ends_ms
-    return Plan(number, counts, tuple(curves))
+    return SlotPlan(number, counts, tuple(curves))
 
 
-def respread(
-    plan: Plan,
+def replan_slots(
+    plan: SlotPlan,
     frozen_ms: float,
     start_ms: float,
     clients: tuple[float, ...],
     *,
     per_ms: float,
     most_ms: float,
-) -> Plan:
+) -> SlotPlan:
     """Return the plan with what lies after `frozen_ms` spread anew, from `start_ms` on if that is later."""
-    counts = tuple(max(LEAST, one) for one in clients)
-    left = [count * (1 - plan.passed(rank, frozen_ms)) for rank, count in enumerate(counts)]
+    counts = tuple(max(MIN_CLASS_CLIENTS, one) for one in clients)
+    left = [count * (1 - plan.elapsed_share(rank, frozen_ms)) for rank, count in enumerate(counts)]
     per_ms = max(per_ms, sum(left) / most_ms)
     at_ms = max(frozen_ms, start_ms)
     curves = []
@@ -141,19 +141,19 @@
         if curve[-1][1] <= frozen_ms:
             curves.append(curve)
             continue
-        passed = plan.passed(rank, frozen_ms)
+        passed = plan.elapsed_share(rank, frozen_ms)
         kept = [knot for knot in curve if knot[1] <= frozen_ms and knot[0] <= passed]
         if passed > 0:
-            kept = [*(knot for knot in kept if knot[0] < passed), (passed, _time_of(curve, passed))]
+            kept = [*(knot for knot in kept if knot[0] < passed), (passed, _time_of_quantile(curve, passed))]
         ends_ms = at_ms + left[rank] / per_ms
         if not kept or at_ms > kept[-1][1]:
             kept.append((passed, at_ms))
-        curves.append((*kept[-(KNOTS - 1) :], (1.0, ends_ms)))
+        curves.append((*kept[-(MAX_KNOTS - 1) :], (1.0, ends_ms)))
         at_ms = ends_ms
     return replace(plan, clients=counts, curves=tuple(curves))
 
 
-def _time_of(curve: tuple[Knot, ...], quantile: float) -> float:
+def _time_of_quantile(curve: tuple[Knot, ...], quantile: float) -> float:
     """Return the time at which a quantile is reached."""
     at = bisect_left(curve, quantile, key=lambda knot: knot[0])
     (q0, t0), (q1, t1) = curve[at - 1], curve[at]
--- a/bitternbeam/fleet/returns/window.py
+++ b/bitternbeam/fleet/returns/window.py
@@ -10,32 +10,32 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bitternbeam.fleet.returns.sketches import Distinct, distinct_of
-from bitternbeam.fleet.returns.slots import KNOTS, Knot, Plan
+from bitternbeam.fleet.returns.sketches import HyperLogLog, parse_sketch
+from bitternbeam.fleet.returns.slots import MAX_KNOTS, Knot, SlotPlan
 
-OPENING, PACED, OVER = "opening", "paced", "over"
-PHASES = (OPENING, PACED, OVER)
-PLANS = 2  # the wave that comes back now, and the next one
-RANKS = 16  # urgencies
-MOST = 1e15  # above every time and count
+OPENING, PACED, CLOSED = "opening", "paced", "over"
+PHASES = (OPENING, PACED, CLOSED)
+MAX_PLANS = 2  # the wave that comes back now, and the next one
+MAX_CLASSES = 16  # urgencies
+MAX_VALUE = 1e15  # above every time and count
 
 
 @dataclass(frozen=True, slots=True)
-class Epoch:
+class AdmissionWindow:
     """One epoch; times are Unix ms, counts by urgency, the most urgent first."""
 
     id: str
-    began_ms: int
+    started_ms: int
     ends_ms: int
-    budget: float  # returns a second, all members together
+    budget_per_s: float  # returns a second, all members together
     revision: int = 0  # of its plans; grows with each change
     phase: str = OPENING
-    urgency: tuple[str, ...] = ()
-    plans: tuple[Plan, ...] = ()  # in order of time
-    promised_ms: int = 0  # members tell slots up to here, and no plan moves those
-    seen: tuple[float, ...] = ()  # clients counted when the plans were last made
-    taken: float = 0.0  # let in until the first plan began
-    missing: float = 0.0  # clients counted that seem to come no more
+    classes: tuple[str, ...] = ()
+    plans: tuple[SlotPlan, ...] = ()  # in order of time
+    committed_until_ms: int = 0  # members tell slots up to here, and no plan moves those
+    counted_clients: tuple[float, ...] = ()  # clients counted when the plans were last made
+    admitted_before_plan: float = 0.0  # let in until the first plan began
+    absent_clients: float = 0.0  # clients counted that seem to come no more
 
     @property
     def backlog(self) -> float:
@@ -43,18 +43,18 @@
         return sum(sum(plan.clients) for plan in self.plans)
 
     @property
-    def window_ms(self) -> int:
+    def slot_span_ms(self) -> int:
         """Return from the first slot to the last."""
         if not self.plans:
             return 0
         first = min(curve[0][1] for curve in self.plans[0].curves)
         return int(max(plan.ends_ms for plan in self.plans) - first)
 
-    def live(self, wall_ms: int) -> bool:
+    def is_open(self, wall_ms: int) -> bool:
         """Tell whether it still leads."""
-        return self.phase != OVER and wall_ms < self.ends_ms
+        return self.phase != CLOSED and wall_ms < self.ends_ms
 
-    def value(self) -> dict[str, Any]:
+    def to_record(self) -> dict[str, Any]:
         """Return it as a record carries it."""
         plans = [
             {
@@ -65,16 +65,16 @@
             for plan in self.plans
         ]
         return {
-            "id": self.id, "began_ms": self.began_ms, "ends_ms": self.ends_ms, "budget": self.budget,
-            "backlog": round(self.backlog), "window_ms": self.window_ms, "revision": self.revision,
-            "phase": self.phase, "urgency": list(self.urgency), "plans": plans,
-            "promised_ms": self.promised_ms, "seen": [round(one, 1) for one in self.seen],
-            "taken": round(self.taken, 1), "missing": round(self.missing, 1),
+            "id": self.id, "began_ms": self.started_ms, "ends_ms": self.ends_ms, "budget": self.budget_per_s,
+            "backlog": round(self.backlog), "window_ms": self.slot_span_ms, "revision": self.revision,
+            "phase": self.phase, "urgency": list(self.classes), "plans": plans,
+            "promised_ms": self.committed_until_ms, "seen": [round(one, 1) for one in self.counted_clients],
+            "taken": round(self.admitted_before_plan, 1), "missing": round(self.absent_clients, 1),
         }  # fmt: skip
 
 
 def _number(value: Any) -> bool:
-    return type(value) in (int, float) and math.isfinite(value) and 0 <= value < MOST
+    return type(value) in (int, float) and math.isfinite(value) and 0 <= value < MAX_VALUE
 
 
 def _numbers(value: Any, most: int) -> tuple[float, ...] | None:
@@ -85,7 +85,7 @@
 
 def _curve(value: Any) -> tuple[Knot, ...] | None:
     """Read a curve: quantiles and times that never fall, the last quantile 1."""
-    if not isinstance(value, list) or not 2 <= len(value) <= KNOTS:
+    if not isinstance(value, list) or not 2 <= len(value) <= MAX_KNOTS:
         return None
     knots: list[Knot] = []
     for row in value:
@@ -98,19 +98,19 @@
     return tuple(knots) if knots[-1][0] == 1 else None
 
 
-def _plan(value: Any) -> Plan | None:
+def _plan(value: Any) -> SlotPlan | None:
     if not isinstance(value, dict) or type(value.get("number")) is not int or value["number"] < 0:
         return None
-    clients, rows = _numbers(value.get("clients"), RANKS), value.get("curves")
+    clients, rows = _numbers(value.get("clients"), MAX_CLASSES), value.get("curves")
     if not clients or not isinstance(rows, list) or len(rows) != len(clients):
         return None
     curves = [_curve(row) for row in rows]
     if any(curve is None for curve in curves):
         return None
-    return Plan(value["number"], clients, tuple(curve for curve in curves if curve is not None))
+    return SlotPlan(value["number"], clients, tuple(curve for curve in curves if curve is not None))
 
 
-def epoch_of(value: Any) -> Epoch | None:
+def parse_window(value: Any) -> AdmissionWindow | None:
     """Read a record's value; None where it is not one."""
     if not isinstance(value, dict):
         return None
@@ -118,19 +118,19 @@
     times = [value.get(key) for key in ("began_ms", "ends_ms", "promised_ms", "revision")]
     if not isinstance(name, str) or not 0 < len(name) <= 256 or phase not in PHASES:
         return None
-    if not all(type(one) is int and 0 <= one < MOST for one in times):
+    if not all(type(one) is int and 0 <= one < MAX_VALUE for one in times):
         return None
     if not all(_number(value.get(key)) for key in ("budget", "taken", "missing")):
         return None
-    seen = _numbers(value.get("seen"), RANKS)
+    seen = _numbers(value.get("seen"), MAX_CLASSES)
     if not isinstance(urgency, list) or not all(isinstance(one, str) for one in urgency) or seen is None:
         return None
-    if not isinstance(rows, list) or len(rows) > PLANS or (phase == PACED and not rows):
+    if not isinstance(rows, list) or len(rows) > MAX_PLANS or (phase == PACED and not rows):
         return None
     plans = [_plan(row) for row in rows]
     if any(plan is None or len(plan.clients) != len(seen) for plan in plans):
         return None
-    return Epoch(
+    return AdmissionWindow(
         name, value["began_ms"], value["ends_ms"], float(value["budget"]), value["revision"], str(phase),
         tuple(urgency), tuple(plan for plan in plans if plan is not None), value["promised_ms"], seen,
         float(value["taken"]), float(value["missing"]),
@@ -138,65 +138,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReturnReport:
+class ReconnectReport:
     """What one member counted; since `since_ms` unless it says otherwise."""
 
     since_ms: int
-    epoch: str = ""  # that it paces by; empty: none
-    asks: bool = False  # it has just started: its clients come back
+    window_id: str = ""  # that it paces by; empty: none
+    requests_window: bool = False  # it has just started: its clients come back
     offered: int = 0  # in the last period
-    turned: int = 0  # in the last period, for want of budget
-    heeded: int = 0  # let in at their slots
-    let_in: tuple[int, ...] = ()  # by urgency
-    seen: tuple[Distinct, ...] = ()  # clients, by urgency
-    plan: int = -1  # number of the plan that `late` goes by
-    late: Distinct | None = None  # clients turned away after their slots
-    late_let_in: int = 0  # clients let in after their slots, while that plan led
-    late_turned: tuple[int, ...] = ()  # in the last period, by urgency
-
-    def value(self) -> dict[str, Any]:
+    refused: int = 0  # in the last period, for want of budget
+    admitted_at_slot: int = 0  # let in at their slots
+    admitted: tuple[int, ...] = ()  # by urgency
+    clients: tuple[HyperLogLog, ...] = ()  # clients, by urgency
+    plan_number: int = -1  # number of the plan that `late` goes by
+    late_clients: HyperLogLog | None = None  # clients turned away after their slots
+    late_admitted: int = 0  # clients let in after their slots, while that plan led
+    late_refused: tuple[int, ...] = ()  # in the last period, by urgency
+
+    def to_record(self) -> dict[str, Any]:
         """Return it as it is stored."""
         return {
-            "since_ms": self.since_ms, "epoch": self.epoch, "asks": self.asks, "offered": self.offered,
-            "turned": self.turned, "heeded": self.heeded, "let_in": list(self.let_in),
-            "seen": [one.text() for one in self.seen], "plan": self.plan,
-            "late": self.late.text() if self.late else "", "late_let_in": self.late_let_in,
-            "late_turned": list(self.late_turned),
+            "since_ms": self.since_ms, "epoch": self.window_id, "asks": self.requests_window,
+            "offered": self.offered,
+            "turned": self.refused, "heeded": self.admitted_at_slot, "let_in": list(self.admitted),
+            "seen": [one.encode() for one in self.clients], "plan": self.plan_number,
+            "late": self.late_clients.encode() if self.late_clients else "",
+            "late_let_in": self.late_admitted,
+            "late_turned": list(self.late_refused),
         }  # fmt: skip
 
 
 def _counts(value: Any) -> tuple[int, ...] | None:
-    if not isinstance(value, list) or len(value) > RANKS:
+    if not isinstance(value, list) or len(value) > MAX_CLASSES:
         return None
-    if not all(type(one) is int and 0 <= one < MOST for one in value):
+    if not all(type(one) is int and 0 <= one < MAX_VALUE for one in value):
         return None
     return tuple(value)
 
 
-def report_of(value: Any) -> ReturnReport | None:
+def parse_report(value: Any) -> ReconnectReport | None:
     """Read a report; None where it is not one."""
     if not isinstance(value, dict):
         return None
     whole = [value.get(key) for key in ("since_ms", "offered", "turned", "heeded", "late_let_in")]
-    if not all(type(one) is int and 0 <= one < MOST for one in whole):
+    if not all(type(one) is int and 0 <= one < MAX_VALUE for one in whole):
         return None
     let_in, late_turned = _counts(value.get("let_in")), _counts(value.get("late_turned"))
-    texts, late = value.get("seen"), distinct_of(value.get("late"))
+    texts, late = value.get("seen"), parse_sketch(value.get("late"))
     epoch, asks, plan = value.get("epoch"), value.get("asks"), value.get("plan")
     if let_in is None or late_turned is None or late is None or not isinstance(texts, list):
         return None
     if (
-        len(texts) > RANKS
+        len(texts) > MAX_CLASSES
         or not isinstance(epoch, str)
         or not isinstance(asks, bool)
         or type(plan) is not int
     ):
         return None
-    seen = [distinct_of(text) for text in texts]
+    seen = [parse_sketch(text) for text in texts]
     if any(one is None for one in seen):
         return None
     since, offered, turned, heeded, late_let_in = whole
-    return ReturnReport(
+    return ReconnectReport(
         int(since or 0), epoch, asks, int(offered or 0), int(turned or 0), int(heeded or 0), let_in,
         tuple(one for one in seen if one is not None), plan, late, int(late_let_in or 0), late_turned,
     )  # fmt: skip
--- a/bitternbeam/lab/returned.py
+++ b/bitternbeam/lab/returned.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from bitternbeam.fleet.returns.admission import QUEUED
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.slots import place
-from bitternbeam.fleet.returns.window import Epoch
+from bitternbeam.fleet.returns.admission import QUEUE_GRACE_SHARE
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.slots import hash_in_window
+from bitternbeam.fleet.returns.window import AdmissionWindow
 from bitternbeam.lab.loads import S, Series
 
 NEAR_MS = 50  # a wait that ends so near a slot was one for that slot
@@ -119,11 +119,11 @@
 
 def called(
     callers: Iterable[dict[str, Any]],
-    records: Sequence[tuple[int, Epoch]],
+    records: Sequence[tuple[int, AdmissionWindow]],
     *,
     wall_less_us: int,
     apart_ms: int,
-    settings: ReturnSettings,
+    settings: ReconnectSettings,
 ) -> Called:
     """Judge each wait by the records (when each was seen) whose slots members may have told.
 
@@ -132,7 +132,7 @@
     found = Called()
     due_us: dict[str, int] = {}  # client: its slot, as told
     places: dict[tuple[str, str], Any] = {}
-    most_s = QUEUED * settings.grace_ms / 1000 + NEAR_MS / 1000
+    most_s = QUEUE_GRACE_SHARE * settings.grace_ms / 1000 + NEAR_MS / 1000
 
     def at_slot(client: str, at_us: int, wait_s: float) -> bool:
         due_ms = (at_us + wall_less_us) / 1000 + wait_s * 1000
@@ -140,11 +140,11 @@
             if not known_us - ON_ITS_WAY_US <= at_us <= known_us + OLD_US:
                 continue
             if (epoch.id, client) not in places:
-                places[epoch.id, client] = place(epoch.id, client)
+                places[epoch.id, client] = hash_in_window(epoch.id, client)
             where = places[epoch.id, client]
             for plan in epoch.plans:
                 slot_ms = plan.slot_ms(0, where)
-                if abs(slot_ms - due_ms) <= NEAR_MS + apart_ms / 2 and slot_ms <= epoch.promised_ms:
+                if abs(slot_ms - due_ms) <= NEAR_MS + apart_ms / 2 and slot_ms <= epoch.committed_until_ms:
                     return True
         return False
 
--- a/bitternbeam/lab/storm.py
+++ b/bitternbeam/lab/storm.py
@@ -14,9 +14,9 @@
 from bitternbeam.fleet.limits.grants import parse_grants
 from bitternbeam.fleet.limits.records import work_name
 from bitternbeam.fleet.limits.terms import Limit
-from bitternbeam.fleet.returns.admission import PURSE_LEAST, PURSE_MOST
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.window import PACED, Epoch, epoch_of
+from bitternbeam.fleet.returns.admission import MAX_BUCKET_FACTOR, MIN_BUCKET_TOKENS
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.window import PACED, AdmissionWindow, parse_window
 from bitternbeam.lab.called import Called
 from bitternbeam.lab.loads import WAYS_US, S
 from bitternbeam.lab.processes import LabError
@@ -61,8 +61,8 @@
         self.paces = pacing == "returns"
         self.apart_ms = APART_MS
         self.resized = {f"most = {members}": f"most = {2 * members}"}
-        self.settings = ReturnSettings(cap_ms=AWAY_MS, period_ms=PERIOD_MS)
-        self.records: list[tuple[int, Epoch]] = []  # as they came, each with when it was seen
+        self.settings = ReconnectSettings(cap_ms=AWAY_MS, period_ms=PERIOD_MS)
+        self.records: list[tuple[int, AdmissionWindow]] = []  # as they came, each with when it was seen
 
     def platform(self) -> dict[str, Any]:
         """Return settings with a class for returns too, and with waits that callers heed."""
@@ -84,10 +84,10 @@
         """Let clients come back."""
         self.order(self.callers, f"clients {number} {heed} {within_ms} {self.how}")
 
-    def look(self) -> Epoch | None:
+    def look(self) -> AdmissionWindow | None:
         """Return the epoch that the engine holds now, and keep it for the judge."""
         try:
-            epoch = epoch_of(self.record("returns"))
+            epoch = parse_window(self.record("returns"))
         except (LabError, OSError, ValueError, KeyError, TypeError):
             return None  # the engine is at fault just now
         if epoch is not None and (not self.records or self.records[-1][1] != epoch):
@@ -97,7 +97,7 @@
     def paced(self) -> bool:
         """Whether slots are told."""
         epoch = self.look()
-        return epoch is not None and epoch.phase == PACED and epoch.live(int(time.time() * 1000))
+        return epoch is not None and epoch.phase == PACED and epoch.is_open(int(time.time() * 1000))
 
     def even(self) -> bool:
         """Whether every member has as much of the budget as any other: nothing is left of a fault before."""
@@ -126,5 +126,5 @@
         part = safe * self.budget
         members = len(self.names)
         over = rate_excess(self.limit, members, WINDOW_US, part, delay_spread_us=WAYS_US)
-        purses = PURSE_MOST * (part * self.settings.purse_ms / 1000 + members * PURSE_LEAST)
+        purses = MAX_BUCKET_FACTOR * (part * self.settings.purse_ms / 1000 + members * MIN_BUCKET_TOKENS)
         return part * WINDOW_US / S + over + purses
--- a/bitternbeam/wiring/fleet/limits.py
+++ b/bitternbeam/wiring/fleet/limits.py
@@ -31,11 +31,11 @@
     def __init__(self, limits: MemberLimits, name: str) -> None:
         self.limits, self.name = limits, name
 
-    def may(self, now_us: int) -> bool:
+    def try_take(self, now_us: int) -> bool:
         """Take one of this member's part, if there is one."""
         return self.limits.readers[self.name].local_limit.try_acquire(now_us)
 
-    def rate(self, now_us: int) -> float:
+    def member_rate(self, now_us: int) -> float:
         """Return this member's part now, a second."""
         return self.limits.readers[self.name].local_limit.usable(now_us)
 
--- a/bitternbeam/wiring/fleet/return_work.py
+++ b/bitternbeam/wiring/fleet/return_work.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from bitternbeam.fleet.record import Write, parse_record
-from bitternbeam.fleet.returns.planner import EpochPlanner
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.window import Epoch, ReturnReport, epoch_of
+from bitternbeam.fleet.returns.planner import WindowPlanner
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.window import AdmissionWindow, ReconnectReport, parse_window
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.work import Work
@@ -17,15 +17,17 @@
 class ReturnWork(Work):
     """Leading the returns of the fleet: what is published is the epoch."""
 
-    def __init__(self, bench: Bench, settings: ReturnSettings, told: Callable[[Epoch], None]) -> None:
+    def __init__(
+        self, bench: Bench, settings: ReconnectSettings, told: Callable[[AdmissionWindow], None]
+    ) -> None:
         super().__init__(bench, "returns")
-        self.keeper = EpochPlanner(settings, bench.fleet.name)
+        self.keeper = WindowPlanner(settings, bench.fleet.name)
         self.told = told
         self.led: Token | None = None  # under which the keeper went on from the record
         self.text: str | None = None  # of the record, as the engine holds it
-        self.seen: tuple[Mapping[str, ReturnReport], float] | None = None  # of a period, to be acted on
+        self.seen: tuple[Mapping[str, ReconnectReport], float] | None = None  # of a period, to be acted on
 
-    def reports(self, rows: Mapping[str, ReturnReport], budget_per_s: float) -> None:
+    def reports(self, rows: Mapping[str, ReconnectReport], budget_per_s: float) -> None:
         """Take the members' reports of a period; the keeper sees them at the next act."""
         self.seen = (rows, budget_per_s)
 
@@ -36,7 +38,7 @@
 
     def heard(self, value: dict[str, Any]) -> None:
         """Take the epoch that leads."""
-        epoch = epoch_of(value)
+        epoch = parse_window(value)
         if epoch is None:
             self.bench.counters.add("fleet.records_malformed")
         else:
@@ -58,15 +60,15 @@
         if self.led != token:
             # What stands, not what the watch showed last: promises in between must be kept.
             record = parse_record(self.text) if self.text is not None else None
-            self.keeper.resume(epoch_of(record.value) if record else None)
+            self.keeper.resume(parse_window(record.value) if record else None)
             self.led = token
         rows, budget_per_s = self.seen
         self.seen = None
-        self.keeper.see(rows, budget_per_s, wall_ms)
+        self.keeper.observe(rows, budget_per_s, wall_ms)
         epoch = self.keeper.plan(wall_ms)
-        if epoch is None or not self.publication.due(token, epoch.value(), now_us):
+        if epoch is None or not self.publication.due(token, epoch.to_record(), now_us):
             return
-        write = self.publication.write(token, epoch.value(), now_us, wall_ms)
+        write = self.publication.write(token, epoch.to_record(), now_us, wall_ms)
         if write is not None:
             self.send(write)
 
--- a/bitternbeam/wiring/fleet/returns.py
+++ b/bitternbeam/wiring/fleet/returns.py
@@ -8,10 +8,10 @@
 
 from bitternbeam.core.calls import Offer
 from bitternbeam.core.limiters import UnlimitedTraffic
-from bitternbeam.fleet.returns.admission import Returns
+from bitternbeam.fleet.returns.admission import ReconnectAdmission
 from bitternbeam.fleet.returns.outcome import Admit
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.window import Epoch, report_of
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.window import AdmissionWindow, parse_report
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.extension import Extension
 from bitternbeam.wiring.fleet.limits import LimitBudget
@@ -22,7 +22,7 @@
 class ReturnBounds(UnlimitedTraffic):
     """What the cores ask: whether it is a return's time."""
 
-    def __init__(self, bench: Bench, pacing: Returns) -> None:
+    def __init__(self, bench: Bench, pacing: ReconnectAdmission) -> None:
         self.bench, self.pacing, self.settings = bench, pacing, pacing.settings
 
     def admit(self, offer: Offer, now_us: int) -> int | None:
@@ -32,12 +32,12 @@
             return None
         named = offer.client if self.settings.identity == "caller" else offer.number
         # Danger: under one empty name all those that tell none would share one slot.
-        told = self.pacing.offered(named or offer.uid, rank, now_us, now_us // 1000)
+        told = self.pacing.decide(named or offer.uid, rank, now_us, now_us // 1000)
         if isinstance(told, Admit):
             self.bench.counters.add("fleet.returns.let_in")
             return None
         self.bench.counters.add("fleet.returns.refused")
-        return told.us
+        return told.delay_us
 
 
 class ReturnsExtension(Extension):
@@ -48,20 +48,22 @@
     def __init__(
         self,
         bench: Bench,
-        settings: ReturnSettings,
+        settings: ReconnectSettings,
         budget: LimitBudget,
         seed: int,
         alone: Callable[[], bool],
     ) -> None:
         self.bench, self.budget, self.alone = bench, budget, alone
         wall_ms = bench.deadlines.now_us() // 1000
-        self.pacing = Returns(settings, bench.fleet.name, budget, random=Random(seed), wall_ms=wall_ms)
+        self.pacing = ReconnectAdmission(
+            settings, bench.fleet.name, budget, random=Random(seed), wall_ms=wall_ms
+        )
         self.work = ReturnWork(bench, settings, self._epoch)
         self.works: Sequence[Work] = [self.work]
         self.bounds = ReturnBounds(bench, self.pacing)
 
-    def _epoch(self, epoch: Epoch) -> None:
-        self.pacing.epoch(epoch, self.bench.deadlines.now_us())
+    def _epoch(self, epoch: AdmissionWindow) -> None:
+        self.pacing.update_window(epoch, self.bench.deadlines.now_us())
 
     def tick(self, now_us: int) -> None:
         """Let epochs end, and lead one of its own while alone."""
@@ -71,13 +73,13 @@
         """Return what was counted; alone the pacing itself takes it."""
         if self.alone():
             return {}
-        told = self.pacing.report(now_us // 1000).value()
-        self.budget.wants(self.pacing.due)
+        told = self.pacing.report(now_us // 1000).to_record()
+        self.budget.wants(self.pacing.due_clients)
         return told
 
     def heard(self, parts: Mapping[str, dict[str, Any]], now_us: int) -> None:
         """Hand the members' counts to the epoch that is led here."""
-        rows = {member: report_of(part) for member, part in parts.items()}
+        rows = {member: parse_report(part) for member, part in parts.items()}
         if None in rows.values():
             self.bench.counters.add("fleet.reports_malformed")
         known = {member: report for member, report in rows.items() if report is not None}
--- a/tests/granted_world.py
+++ b/tests/granted_world.py
@@ -13,7 +13,7 @@
 from bitternbeam.fleet.limits.local_limit import LocalLimit
 from bitternbeam.fleet.limits.need import Need
 from bitternbeam.fleet.limits.terms import Limit, LimitTimes
-from bitternbeam.fleet.returns.settings import ReturnSettings
+from bitternbeam.fleet.returns.settings import ReconnectSettings
 from bitternbeam.fleet.tokens import Token
 from tests.returns_world import Member, Part, World
 
@@ -28,10 +28,10 @@
         super().__init__(0.0, whole)
         self.holding = holding
 
-    def may(self, now_us: int) -> bool:
+    def try_take(self, now_us: int) -> bool:
         return self.holding.try_acquire(now_us)
 
-    def rate(self, now_us: int) -> float:
+    def member_rate(self, now_us: int) -> float:
         return self.holding.usable(now_us)
 
 
@@ -39,8 +39,8 @@
 class Granted(World):
     """A storm whose budget is granted out; `cut` cuts a member from the engine both ways."""
 
-    settings: ReturnSettings = field(
-        default_factory=lambda: ReturnSettings("back", 250.0, period_ms=PERIOD_MS)
+    settings: ReconnectSettings = field(
+        default_factory=lambda: ReconnectSettings("back", 250.0, period_ms=PERIOD_MS)
     )
     lasts_ms: int = TTL_MS + LOCK_DELAY_MS + 4 * PERIOD_MS
     granter: int = 0  # who owns the limit
@@ -79,7 +79,7 @@
             if one.returns is None or one.down or one.paused:
                 continue
             holding = self.parts[one.name].holding
-            holding.requested = round(one.returns.due)
+            holding.requested = round(one.returns.due_clients)
             need = holding.build_need(self.now_us)
             if not one.cut:
                 self.after(self.delay_ms, partial(self.needed, need))
--- a/tests/reconnect_sketches.py
+++ b/tests/reconnect_sketches.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from bitternbeam.fleet.returns.sketches import Distinct
-from bitternbeam.fleet.returns.slots import client_mix
+from bitternbeam.fleet.returns.sketches import HyperLogLog
+from bitternbeam.fleet.returns.slots import hash_client
 
 
-def seen(count: float) -> Distinct:
-    one = Distinct()
+def sketch_of(count: float) -> HyperLogLog:
+    one = HyperLogLog()
     for number in range(int(count)):
-        one.add(client_mix(f"x{number}"))
+        one.add(hash_client(f"x{number}"))
     return one
--- a/tests/returns_world.py
+++ b/tests/returns_world.py
@@ -12,12 +12,12 @@
 from functools import partial
 from random import Random
 
-from bitternbeam.fleet.returns.admission import Returns
+from bitternbeam.fleet.returns.admission import ReconnectAdmission
 from bitternbeam.fleet.returns.outcome import Admit
-from bitternbeam.fleet.returns.planner import EpochPlanner
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.slots import place
-from bitternbeam.fleet.returns.window import Epoch, ReturnReport, epoch_of, report_of
+from bitternbeam.fleet.returns.planner import WindowPlanner
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.slots import hash_in_window
+from bitternbeam.fleet.returns.window import AdmissionWindow, ReconnectReport, parse_report, parse_window
 
 WALL_MS = 1_800_000_000_000
 
@@ -31,7 +31,7 @@
     tokens: float = 1.0
     at_us: int = 0
 
-    def may(self, now_us: int) -> bool:
+    def try_take(self, now_us: int) -> bool:
         most = max(1.0, self.rate_per_s / 4)
         self.tokens = min(most, self.tokens + self.rate_per_s * (now_us - self.at_us) / 1e6)
         self.at_us = now_us
@@ -40,7 +40,7 @@
         self.tokens -= 1
         return True
 
-    def rate(self, now_us: int) -> float:
+    def member_rate(self, now_us: int) -> float:
         return self.rate_per_s
 
     def fleet_rate(self) -> float:
@@ -70,7 +70,7 @@
     name: str
     skew_ms: int
     part: Part
-    returns: Returns | None = None
+    returns: ReconnectAdmission | None = None
     capacity: Part = field(default_factory=lambda: Part(0, 0))
     cut: bool = False
     down: bool = False
@@ -94,7 +94,7 @@
     late: float = 0.0  # part of those that heed, that come 5 s late each time
     skewed: bool = False  # a quarter of the members have three in four of the clients
     safe: float = 0.5  # of an even share, that a member cut off has
-    settings: ReturnSettings = field(default_factory=lambda: ReturnSettings("returns", 250.0))
+    settings: ReconnectSettings = field(default_factory=lambda: ReconnectSettings("returns", 250.0))
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
@@ -105,9 +105,9 @@
         self.lost = self.came = 0
         self.offers: dict[tuple[int, int], int] = {}  # to each member in each second
         self.people: list[Client] = []
-        self.record: Epoch | None = None
-        self.revisions: list[Epoch] = []
-        self.stored: dict[str, ReturnReport] = {}
+        self.record: AdmissionWindow | None = None
+        self.revisions: list[AdmissionWindow] = []
+        self.stored: dict[str, ReconnectReport] = {}
         self.fleet: list[Member] = []
         each = self.budget / self.members
         for number in range(self.members):
@@ -120,15 +120,15 @@
                 one.returns = self.started(one)
         self.owner = 0
         self.token = 1
-        self.keeper = EpochPlanner(self.settings, "m0")
+        self.keeper = WindowPlanner(self.settings, "m0")
         self.at(500 * self.settings.period_ms, self.lead)
         self.at(0, self.turn)
         if self.ordinary:
             self.at(0, self.call)
 
-    def started(self, one: Member, began_ms: int | None = None) -> Returns:
+    def started(self, one: Member, began_ms: int | None = None) -> ReconnectAdmission:
         wall = self.wall(one) - 60_000 if began_ms is None else began_ms
-        return Returns(self.settings, one.name, one.part, random=self.random, wall_ms=wall)
+        return ReconnectAdmission(self.settings, one.name, one.part, random=self.random, wall_ms=wall)
 
     def at(self, at_us: float, what: Callable[[], None]) -> None:
         self.number += 1
@@ -157,7 +157,7 @@
                 continue
             one.returns.tick(self.now_us, self.wall(one), one.cut)
             if not one.cut:
-                found = report_of(one.returns.report(self.wall(one)).value())
+                found = parse_report(one.returns.report(self.wall(one)).to_record())
                 assert found is not None
                 self.after(self.delay_ms, partial(self.stored.update, {one.name: found}))
 
@@ -166,11 +166,11 @@
         safe = self.safe * self.budget / self.members
         live = [one for one in self.fleet if not one.cut and not one.down]
         rest = self.budget - safe * sum(one.cut and not one.down for one in self.fleet)
-        wanted = sum(one.returns.due for one in live if one.returns)
+        wanted = sum(one.returns.due_clients for one in live if one.returns)
         for one in self.fleet:
             one.part.rate_per_s = safe
         for one in live:
-            share = one.returns.due / wanted if one.returns and wanted else 1 / len(live)
+            share = one.returns.due_clients / wanted if one.returns and wanted else 1 / len(live)
             one.part.rate_per_s = rest * (0.1 / len(live) + 0.9 * share)
             one.part.whole = self.budget
 
@@ -179,29 +179,29 @@
         owner = self.fleet[self.owner]
         if self.pacing != "slots" or owner.cut or owner.down or owner.paused:
             return
-        self.keeper.see(self.stored, self.budget, self.wall(owner))
+        self.keeper.observe(self.stored, self.budget, self.wall(owner))
         epoch = self.keeper.plan(self.wall(owner))
         if epoch is not None:
             self.after(self.delay_ms / 2, partial(self.write, epoch, self.token))
 
-    def write(self, epoch: Epoch, token: int) -> None:
+    def write(self, epoch: AdmissionWindow, token: int) -> None:
         if token != self.token:
             return  # the record carries a higher token
-        self.record = epoch_of(epoch.value())
+        self.record = parse_window(epoch.to_record())
         assert self.record is not None
         self.revisions.append(self.record)
         for one in self.fleet:
             if not one.cut and not one.down:
                 self.after(self.delay_ms / 2, partial(self.show, one, self.record))
 
-    def show(self, one: Member, record: Epoch) -> None:
+    def show(self, one: Member, record: AdmissionWindow) -> None:
         if one.returns is not None and not one.cut:
-            one.returns.epoch(record, self.now_us)
+            one.returns.update_window(record, self.now_us)
 
     def take_over(self, number: int) -> None:
         """Let another member own the epoch, from what the record says."""
         self.owner, self.token = number, self.token + 1
-        self.keeper = EpochPlanner(self.settings, self.fleet[number].name)
+        self.keeper = WindowPlanner(self.settings, self.fleet[number].name)
         self.keeper.resume(self.record)
         self.stored = {one.name: self.stored[one.name] for one in self.fleet if not one.down}
 
@@ -239,21 +239,23 @@
         """Return None to let a client in, or the wait that it is told, in microseconds."""
         wall = self.wall(member)
         if member.returns is not None:
-            word = member.returns.offered(one.name, one.rank, self.now_us, wall)
+            word = member.returns.decide(one.name, one.rank, self.now_us, wall)
             due = one.told_ms and one.heeds and not one.late_ms
             if isinstance(word, Admit):
-                member.capacity.may(self.now_us)
+                member.capacity.try_take(self.now_us)
                 return None
             one.again += bool(due)
-            epoch = member.returns.leading(wall)
+            epoch = member.returns.active_window(wall)
             slots = (
-                [plan.slot_ms(one.rank, place(epoch.id, one.name)) for plan in epoch.plans] if epoch else []
+                [plan.slot_ms(one.rank, hash_in_window(epoch.id, one.name)) for plan in epoch.plans]
+                if epoch
+                else []
             )
-            one.told_ms = wall + word.us // 1000 if wall + word.us // 1000 in slots else 0
-            return word.us
-        if self.pacing == "bucket" and not member.part.may(self.now_us):
+            one.told_ms = wall + word.delay_us // 1000 if wall + word.delay_us // 1000 in slots else 0
+            return word.delay_us
+        if self.pacing == "bucket" and not member.part.try_take(self.now_us):
             return 1e6
-        if member.capacity.may(self.now_us):
+        if member.capacity.try_take(self.now_us):
             return None
         if self.pacing == "jitter":
             return self.random.random() * min(30.0, 2.0**one.tries) * 1e6
@@ -264,7 +266,7 @@
         self.after(self.random.expovariate(self.ordinary) * 1000, self.call)
         self.came += 1
         live = [one for one in self.fleet if not one.down]
-        self.lost += not self.random.choice(live).capacity.may(self.now_us)
+        self.lost += not self.random.choice(live).capacity.try_take(self.now_us)
 
     # What came of it.
 
--- a/tests/test_fleet_returns.py
+++ b/tests/test_fleet_returns.py
@@ -9,11 +9,11 @@
 import pytest
 
 from bitternbeam.commands.checking import check_file
-from bitternbeam.fleet.returns.admission import PURSE_LEAST, PURSE_MOST, Returns
-from bitternbeam.fleet.returns.outcome import Admit, Wait
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.slots import place, spread
-from bitternbeam.fleet.returns.window import PACED, Epoch
+from bitternbeam.fleet.returns.admission import MAX_BUCKET_FACTOR, MIN_BUCKET_TOKENS, ReconnectAdmission
+from bitternbeam.fleet.returns.outcome import Admit, RetryAfter
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.slots import hash_in_window, plan_slots
+from bitternbeam.fleet.returns.window import PACED, AdmissionWindow
 from bitternbeam.lab.returned import called, seen
 from bitternbeam.lab.storm import Storm
 from bitternbeam.lab.storms import calm, play_faults
@@ -95,9 +95,18 @@
 def test_who_came_at_its_slot_and_was_called_back_is_counted(
     second: list[tuple[str, int, float]], judged: tuple[int, int, int]
 ) -> None:
-    plan = spread(0, 10_000, (100.0,), per_ms=0.01, most_ms=1e6)
-    epoch = Epoch("e", 9_000, 60_000, 10.0, phase=PACED, plans=(plan,), promised_ms=30_000, seen=(100.0,))
-    slot_ms, wall_ms = plan.slot_ms(0, place("e", "c")), 1_000
+    plan = plan_slots(0, 10_000, (100.0,), per_ms=0.01, most_ms=1e6)
+    epoch = AdmissionWindow(
+        "e",
+        9_000,
+        60_000,
+        10.0,
+        phase=PACED,
+        plans=(plan,),
+        committed_until_ms=30_000,
+        counted_clients=(100.0,),
+    )
+    slot_ms, wall_ms = plan.slot_ms(0, hash_in_window("e", "c")), 1_000
     at_us = (slot_ms - 5_000 - wall_ms) * 1000
     line = {"event": "refused", "at_us": at_us, "client": "c", "heeds": True, "wait_s": 5.0}
     then = [
@@ -106,7 +115,7 @@
     ]
     found = called(
         [line, *(line | one for one in then)], [(at_us - 1_000_000, epoch)], wall_less_us=wall_ms * 1000,
-        apart_ms=200, settings=ReturnSettings(),
+        apart_ms=200, settings=ReconnectSettings(),
     )  # fmt: skip
     assert (found.slots, found.queued, found.twice) == judged
     assert found.next_wave == 0
@@ -114,36 +123,47 @@
 
 def test_what_was_put_by_under_a_larger_part_is_not_kept() -> None:
     part = Part(40.0, 40.0)
-    returns = Returns(ReturnSettings("back", 40.0), "m", part, random=Random(1), wall_ms=0)
-    returns.epoch(Epoch("e", 100_000, 160_000, 40.0), 100_000_000)
+    returns = ReconnectAdmission(ReconnectSettings("back", 40.0), "m", part, random=Random(1), wall_ms=0)
+    returns.update_window(AdmissionWindow("e", 100_000, 160_000, 40.0), 100_000_000)
     # Its purse fills up to 20, before it falls to its safe part of 1 a second.
-    first = [returns.offered(f"c{one}", 0, 100_000_000 + one, 100_000) for one in range(2)]
+    first = [returns.decide(f"c{one}", 0, 100_000_000 + one, 100_000) for one in range(2)]
     for at_ms in range(100_250, 102_500, 250):
-        returns._fill(at_ms * 1000)
+        returns._fill_bucket(at_ms * 1000)
     part.rate_per_s = 1.0
-    then = [returns.offered(f"d{one}", 0, 102_300_000 + one, 102_300) for one in range(40)]
+    then = [returns.decide(f"d{one}", 0, 102_300_000 + one, 102_300) for one in range(40)]
     assert sum(isinstance(one, Admit) for one in first) == 2
-    assert sum(isinstance(one, Admit) for one in then) <= PURSE_MOST * PURSE_LEAST + 1
+    assert sum(isinstance(one, Admit) for one in then) <= MAX_BUCKET_FACTOR * MIN_BUCKET_TOKENS + 1
 
 
 def test_a_queue_of_a_small_part_is_not_still_full_when_the_part_has_grown() -> None:
     part = Part(1.0, 40.0)
-    returns = Returns(ReturnSettings("back", 40.0), "m", part, random=Random(1), wall_ms=0)
-    waves = tuple(spread(n, at, (100.0,), per_ms=0.1, most_ms=1e6) for n, at in enumerate((100_000, 110_000)))
-    epoch = Epoch("e", 99_000, 160_000, 40.0, phase=PACED, plans=waves, promised_ms=130_000, seen=(200.0,))
-    returns.epoch(epoch, 100_500_000)
+    returns = ReconnectAdmission(ReconnectSettings("back", 40.0), "m", part, random=Random(1), wall_ms=0)
+    waves = tuple(
+        plan_slots(n, at, (100.0,), per_ms=0.1, most_ms=1e6) for n, at in enumerate((100_000, 110_000))
+    )
+    epoch = AdmissionWindow(
+        "e",
+        99_000,
+        160_000,
+        40.0,
+        phase=PACED,
+        plans=waves,
+        committed_until_ms=130_000,
+        counted_clients=(200.0,),
+    )
+    returns.update_window(epoch, 100_500_000)
     names = [f"c{one}" for one in range(200)]
-    names.sort(key=lambda one: waves[0].slot_ms(0, place("e", one)))
+    names.sort(key=lambda one: waves[0].slot_ms(0, hash_in_window("e", one)))
     # At a safe part of 1 a second the queue is soon full: who finds it so is told its slot of the next wave.
-    told = [returns.offered(one, 0, 101_100_000, 101_100) for one in names[:100]]
-    waits_s = [one.us / 1e6 for one in told if isinstance(one, Wait)]
+    told = [returns.decide(one, 0, 101_100_000, 101_100) for one in names[:100]]
+    waits_s = [one.delay_us / 1e6 for one in told if isinstance(one, RetryAfter)]
     assert min(waits_s) < 2 and max(waits_s) > 5
     # The part has grown, the queue is worked off, and the purse just empty.
     part.rate_per_s = 40.0
     for at_ms in (102_800, 102_801):
-        told = [returns.offered(one, 0, at_ms * 1000, at_ms) for one in names[180:]]
-    refused = next(one for one in told if isinstance(one, Wait))
-    assert refused.us < 500_000
+        told = [returns.decide(one, 0, at_ms * 1000, at_ms) for one in names[180:]]
+    refused = next(one for one in told if isinstance(one, RetryAfter))
+    assert refused.delay_us < 500_000
 
 
 BAD = """[fleet]
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -13,17 +13,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternbeam.fleet.returns.admission import Returns
+from bitternbeam.fleet.returns.admission import ReconnectAdmission
 from bitternbeam.fleet.returns.outcome import Admit
-from bitternbeam.fleet.returns.planner import EpochPlanner
-from bitternbeam.fleet.returns.settings import ReturnSettings
-from bitternbeam.fleet.returns.slots import at_turn, place, respread, spread, turn_wait
-from bitternbeam.fleet.returns.window import OVER, PACED, Epoch, ReturnReport, epoch_of
-from tests.reconnect_sketches import seen
+from bitternbeam.fleet.returns.planner import WindowPlanner
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.slots import (
+    check_in_wait_ms,
+    hash_in_window,
+    is_check_in,
+    plan_slots,
+    replan_slots,
+)
+from bitternbeam.fleet.returns.window import CLOSED, PACED, AdmissionWindow, ReconnectReport, parse_window
+from tests.reconnect_sketches import sketch_of
 from tests.returns_world import WALL_MS, World
 
 SMALL = {"members": 10, "clients": 2_000, "budget": 200.0, "ordinary": 100.0}
-BASE = ReturnSettings("returns", 250.0)
+BASE = ReconnectSettings("returns", 250.0)
 START_S = 2.25
 HOUR_MS = 3_600_000.0
 
@@ -46,14 +52,14 @@
         for own in (heeding, [one for one in world.people if not one.heeds])
     ]
     assert means[0] < means[1] and world.last_ms() < world.last_ms(heeds=False) < 1e6
-    assert world.revisions[-1].phase == OVER
+    assert world.revisions[-1].phase == CLOSED
     # What the busiest second of one member costs it, if all of it had come early.
     returns = world.fleet[0].returns
     led = next(one for one in world.revisions if one.phase == PACED)
     assert returns is not None
-    returns.epoch(led, world.now_us)
-    began, wall = time.process_time(), led.began_ms + 2_000
-    waits = [returns.offered(f"e{number}", 0, world.now_us, wall) for number in range(2_000)]
+    returns.update_window(led, world.now_us)
+    began, wall = time.process_time(), led.started_ms + 2_000
+    waits = [returns.decide(f"e{number}", 0, world.now_us, wall) for number in range(2_000)]
     cost_s = (time.process_time() - began) / len(waits)
     assert cost_s * max(world.offers.values()) < 0.05
 
@@ -128,19 +134,22 @@
     assert max(one.back_ms for one in heeding) - 1000 * START_S <= last * backlog_ms
     assert sum(one.again for one in heeding) <= again * len(heeding)
     assert sum(one.tries for one in heeding) <= tries * len(heeding)
-    assert not world.revisions or world.revisions[-1].phase == OVER
+    assert not world.revisions or world.revisions[-1].phase == CLOSED
     for one in world.people:
         returns = world.fleet[one.home].returns
         assert returns is not None
         if one.heeds:  # not even those that come late are taken for heedless
-            assert returns.strikes.count(place(returns.striking, one.name).mix) < BASE.strikes
+            assert (
+                returns.violations.count(hash_in_window(returns.violations_window_id, one.name).sketch_hash)
+                < BASE.strikes
+            )
 
 
 def test_the_urgent_come_first_and_nobody_waits_long_for_a_calm_start() -> None:
     world = World(**SMALL, settings=replace(BASE, classes=("urgent", "usual")))  # type: ignore[arg-type]
     world.at(START_S * 1e6, partial(start, world))
     world.run(15)
-    assert [one.phase for one in world.revisions][::10] and world.revisions[-1].phase == OVER  # it asked
+    assert [one.phase for one in world.revisions][::10] and world.revisions[-1].phase == CLOSED  # it asked
     world.storm(20.25, ranks=2)
     world.run(60)
     backs = [sorted(one.back_ms for one in world.people if one.heeds and one.rank == rank) for rank in (0, 1)]
@@ -149,13 +158,13 @@
 
 def ends(*phases: tuple[int, int, float, int]) -> list[tuple[float, float]]:
     """Return when the first and the last plan end, in s: clients that came, those let in, budget, seconds."""
-    keeper, wall = EpochPlanner(BASE, "m0"), WALL_MS
+    keeper, wall = WindowPlanner(BASE, "m0"), WALL_MS
     found: list[tuple[float, float]] = []
     for came, let_in, budget, periods in phases:
         for _ in range(periods):
             wall += 1000
-            report = ReturnReport(0, turned=900, let_in=(let_in,), seen=(seen(came),))
-            keeper.see({"m0": report}, budget, wall)
+            report = ReconnectReport(0, refused=900, admitted=(let_in,), clients=(sketch_of(came),))
+            keeper.observe({"m0": report}, budget, wall)
             epoch = keeper.plan(wall)
         assert epoch is not None and epoch.phase == PACED
         found.append(tuple((epoch.plans[at].ends_ms - WALL_MS) / 1000 for at in (0, -1)))  # type: ignore[arg-type]
@@ -174,10 +183,10 @@
 class Rich:
     """A budget that bears everything."""
 
-    def may(self, now_us: int) -> bool:
+    def try_take(self, now_us: int) -> bool:
         return True
 
-    def rate(self, now_us: int) -> float:
+    def member_rate(self, now_us: int) -> float:
         return 100.0
 
     fleet_rate = lambda self: 100.0
@@ -197,40 +206,41 @@
     moves: list[tuple[int, int, int, float, bool]], skew_ms: int
 ) -> None:
     """Whoever may have been told a slot finds it unmoved, and is let in there, by whichever owner's plan."""
-    keeper, wall, came = EpochPlanner(BASE, "m0"), WALL_MS, 200
+    keeper, wall, came = WindowPlanner(BASE, "m0"), WALL_MS, 200
     told: dict[tuple[str, int, str], int] = {}
-    records: list[Epoch] = []
+    records: list[AdmissionWindow] = []
     clients = [f"c{number}" for number in range(100)]
     for periods, more, late, budget, fails in moves:
         came, wall = came + more, wall + 1000 * periods
         epoch = records[-1] if records else None
         number = epoch.plans[0].number if epoch and epoch.plans else -1
-        report = ReturnReport(
-            0, epoch.id if epoch else "", turned=900, let_in=(came // 4,), seen=(seen(came),), plan=number,
-            late=seen(late), late_turned=(late,),
+        report = ReconnectReport(
+            0, epoch.id if epoch else "", refused=900, admitted=(came // 4,), clients=(sketch_of(came),),
+            plan_number=number,
+            late_clients=sketch_of(late), late_refused=(late,),
         )  # fmt: skip
         if fails:
-            keeper = EpochPlanner(BASE, "m1")
+            keeper = WindowPlanner(BASE, "m1")
             keeper.resume(epoch)
-        keeper.see({"m0": report}, budget, wall)
+        keeper.observe({"m0": report}, budget, wall)
         epoch = keeper.plan(wall)
-        assert epoch is not None and epoch_of(json.loads(json.dumps(epoch.value()))) is not None
+        assert epoch is not None and parse_window(json.loads(json.dumps(epoch.to_record()))) is not None
         records.append(epoch)
         for client in clients:
             for plan in epoch.plans:
-                slot = plan.slot_ms(0, place(epoch.id, client))
+                slot = plan.slot_ms(0, hash_in_window(epoch.id, client))
                 key = (epoch.id, plan.number, client)
                 assert abs(told.get(key, slot) - slot) <= 1, "a promised slot was moved"
-                if slot <= epoch.promised_ms:
+                if slot <= epoch.committed_until_ms:
                     told[key] = slot
         last = epoch.plans[-1] if epoch.phase == PACED else None
         if last is not None:
-            member = Returns(BASE, "m2", Rich(), random=World.__new__(World), wall_ms=wall)  # type: ignore[arg-type]
-            member.epoch(epoch, 0)
+            member = ReconnectAdmission(BASE, "m2", Rich(), random=World.__new__(World), wall_ms=wall)  # type: ignore[arg-type]
+            member.update_window(epoch, 0)
             for client in clients[:10]:
-                slot = epoch.plans[0].slot_ms(0, place(epoch.id, client))
+                slot = epoch.plans[0].slot_ms(0, hash_in_window(epoch.id, client))
                 assert isinstance(
-                    member.offered(client, 0, 0, min(slot, epoch.ends_ms - 300) + skew_ms), Admit
+                    member.decide(client, 0, 0, min(slot, epoch.ends_ms - 300) + skew_ms), Admit
                 )
 
 
@@ -242,8 +252,10 @@
 def test_slots_are_spread_evenly_the_urgent_first_and_in_order(
     counts: list[int], per_ms: float, salt: int, when: float, new_per_ms: float
 ) -> None:
-    plan = spread(0, 1_000, tuple(map(float, counts)), per_ms=per_ms, most_ms=HOUR_MS)
-    places = [[place(str(salt), f"{rank}-{n}") for n in range(count)] for rank, count in enumerate(counts)]
+    plan = plan_slots(0, 1_000, tuple(map(float, counts)), per_ms=per_ms, most_ms=HOUR_MS)
+    places = [
+        [hash_in_window(str(salt), f"{rank}-{n}") for n in range(count)] for rank, count in enumerate(counts)
+    ]
     slots = [[plan.slot_ms(rank, one) for one in own] for rank, own in enumerate(places)]
     for urgent, usual in pairwise(slots):
         assert max(urgent) <= min(usual)
@@ -252,7 +264,7 @@
     loads = [sum(at <= slot < at + span_ms for slot in every) for at in range(1_000, every[-1], int(span_ms))]
     assert max(loads) <= 100 + 5.5 * 100**0.5
     frozen = 1_000 + when * (plan.ends_ms - 1_000)
-    moved = respread(plan, frozen, 0, plan.clients, per_ms=new_per_ms, most_ms=HOUR_MS)
+    moved = replan_slots(plan, frozen, 0, plan.clients, per_ms=new_per_ms, most_ms=HOUR_MS)
     for rank, own in enumerate(places):
         pairs = sorted((plan.slot_ms(rank, one), moved.slot_ms(rank, one)) for one in own)
         assert all(abs(old - new) <= 1 if old <= frozen else new >= int(frozen) for old, new in pairs)
@@ -262,9 +274,9 @@
 @given(st.integers(WALL_MS, WALL_MS + 10**8), st.integers(50, 60_000), st.text(min_size=1))
 @settings(derandomize=True, deadline=None)
 def test_who_comes_when_told_came_at_a_turn_at_any_member(wall: int, step: int, client: str) -> None:
-    phase = place("e", client).phase
-    wait = turn_wait(phase, wall, step)
-    assert 0 < wait <= step and at_turn(phase, wall + wait, step, 2, 2)
-    again = turn_wait(phase, wall + wait, step)
-    assert again > 0.7 * step and at_turn(phase, wall + wait + again, step, 2, 2)
-    assert not at_turn(phase, wall + wait + step // 2, step, step // 10, step // 10)
+    phase = hash_in_window("e", client).phase
+    wait = check_in_wait_ms(phase, wall, step)
+    assert 0 < wait <= step and is_check_in(phase, wall + wait, step, 2, 2)
+    again = check_in_wait_ms(phase, wall + wait, step)
+    assert again > 0.7 * step and is_check_in(phase, wall + wait + again, step, 2, 2)
+    assert not is_check_in(phase, wall + wait + step // 2, step, step // 10, step // 10)
