--- a/bitternbeam/tables/deadlines.py
+++ b/bitternbeam/tables/deadlines.py
@@ -74,7 +74,7 @@
         """Return the earliest time at which the input being read now may have arrived."""
         return self._clock.earliest_arrival_us()
 
-    def at(self, at_us: int, due: Callable[[], None]) -> Deadline:
+    def call_at(self, at_us: int, due: Callable[[], None]) -> Deadline:
         """Call due at at_us (microseconds) or soon after, never before this method returns."""
         deadline = Deadline(self, at_us, due)
         heapq.heappush(self._heap, (at_us, next(self._order), deadline))
@@ -83,7 +83,7 @@
 
     def after(self, wait_us: int, due: Callable[[], None]) -> Deadline:
         """Call due wait_us microseconds from now."""
-        return self.at(self._clock.now_us() + wait_us, due)
+        return self.call_at(self._clock.now_us() + wait_us, due)
 
     def count_cancelled(self) -> None:
         """Count a cancelled entry, and compact the heap when most of it is cancelled."""
--- a/tests/test_wiring.py
+++ b/tests/test_wiring.py
@@ -189,7 +189,7 @@
         stepped.append(switch.name)
         step(gateway, switch, shares)
 
-    monkeypatch.setattr(budget, "step", noted)
+    monkeypatch.setattr(budget, "step_budget", noted)
     for _ in range(20):
         world.complete_call(world.call(cell=7, allowed=(tier("s7"),)), "s7", 40 * MS)
         world.advance(200 * MS)
