--- a/bitternbeam/decision/budget.py
+++ b/bitternbeam/decision/budget.py
@@ -1,74 +1,89 @@
-"""Each switch's budget of set-ups an interval and its quotas, the paper's LC-Logic."""
+"""Each switch's budget of set-ups per interval and its quotas (LC-Logic, Nadjm-Tehrani et al. 2002)."""
 
-from bitternbeam.decision.load import expected_us
-from bitternbeam.decision.state import Gateway, Group, Switch
+from bitternbeam.decision.load import expected_wait_us
+from bitternbeam.decision.state import Group, InstanceState, Switch
 
-STEP = 0.1  # of the largest budget so far
-FLEET = 8.0  # an interval to one switch, of all gateways together: the least step
-MEMORY = 3  # intervals for which a switch stays throttled
-NEW = 8.0  # intervals, with those that fade: a gateway that saw fewer restarted
-DOWN_PART, UP_PART = 0.5, 0.2  # of an interval's samples above: more step it down, at most so many up
-KEEP = 0.8  # of the smoothed set-ups an interval, asked and sent
-SLICE, SLICE_GAP_US = 32, 2_000  # switches that are stepped at a time, and what lies between two times
+STEP_SHARE = 0.1  # of a switch's largest budget so far
+MIN_FLEET_STEP = 8.0  # set-ups per interval to one switch, summed over all instances
+THROTTLE_INTERVALS = 3  # a switch stays throttled this long after an overload
+RESTARTED_INTERVALS = 8.0  # weighted count of intervals; an instance that observed fewer has restarted
+# Shares of an interval's load samples that show overload: above the first the budget steps down, up to
+# the second it steps up.
+STEP_DOWN_SHARE, STEP_UP_SHARE = 0.5, 0.2
+COUNT_KEPT = 0.8  # exponential smoothing of demand and send rate, per interval
+SLICE_SWITCHES, SLICE_GAP_US = 32, 2_000  # budgets are stepped in slices, with a gap between them
 
 
-def inherit(heir: Switch, cell: list[Switch]) -> None:
-    """Give a switch that takes others' place in their cell the budget that was found for them.
+def inherit_budget(heir: Switch, cell: list[Switch]) -> None:
+    """Give a switch the largest budget, rate and demand learned for the switches of its cell.
 
-    Danger: from nothing a budget takes dozens of intervals, and by then the next one takes its place.
+    A budget that starts at 0 takes dozens of intervals to grow; frequently replaced switches would never
+    reach theirs.
     """
     for old in cell:
         if old is not heir:
-            heir.largest, heir.budget = max(heir.largest, old.largest), max(heir.budget, old.budget)
-            heir.rate = max(heir.rate, old.rate)
-            for group, asked in old.asked.items():
-                heir.asked[group] = max(heir.asked[group], asked)
+            heir.largest_budget, heir.budget = (
+                max(heir.largest_budget, old.largest_budget),
+                max(heir.budget, old.budget),
+            )
+            heir.send_rate = max(heir.send_rate, old.send_rate)
+            for group, asked in old.demand.items():
+                heir.demand[group] = max(heir.demand[group], asked)
 
 
-def step_some(gateway: Gateway) -> bool:
-    """Step a slice of the switches that are due; among thousands, others are left for a later turn."""
-    for switch in gateway.due[:SLICE]:
-        since_us = switch.cold_since_us
-        if since_us is not None and gateway.now_us - since_us > gateway.settings.warm_after_us:
-            # Throttled from here, or its first warm second takes all that was refused so far.
-            switch.cold_since_us, switch.pressed = None, MEMORY
-            if gateway.weight < NEW:  # restarted: danger: from nothing the budget takes dozens of intervals
-                switch.rate = switch.budget = max(switch.rate, gateway.even)
-        step(gateway, switch, gateway.shares)
-    del gateway.due[:SLICE]
-    return bool(gateway.due)
+def step_next_slice(instance: InstanceState) -> bool:
+    """Step the budgets of the next slice of switches; returns whether more are left.
+
+    Slices keep thousands of switches from blocking the event loop.
+    """
+    for switch in instance.pending_steps[:SLICE_SWITCHES]:
+        since_us = switch.slow_start_since_us
+        if since_us is not None and instance.now_us - since_us > instance.settings.warm_after_us:
+            # Throttled when slow start ends; otherwise all calls refused so far would arrive at once.
+            switch.slow_start_since_us, switch.throttled_intervals = None, THROTTLE_INTERVALS
+            # A restarted instance has no learned budget, and one grown from 0 takes dozens of intervals.
+            if instance.observed_intervals < RESTARTED_INTERVALS:
+                switch.send_rate = switch.budget = max(switch.send_rate, instance.even_demand)
+        step_budget(instance, switch, instance.group_shares)
+    del instance.pending_steps[:SLICE_SWITCHES]
+    return bool(instance.pending_steps)
 
 
-def step(gateway: Gateway, switch: Switch, shares: dict[Group, float]) -> None:
-    """Move one switch's budget a step and pool its spare quota."""
-    move = max(min(1.0, FLEET / gateway.settings.gateways), STEP * switch.largest)
-    # Few calls: a smoothed count, and what chance hides of it, stand in. Danger: alone it trails a rise.
-    usual = max(switch.sent, switch.rate + (switch.rate * (1 - KEEP) / (1 + KEEP)) ** 0.5)
-    if not switch.pressed:
-        switch.budget = max(switch.budget, usual)  # what was sent while unthrottled
-    # Danger: of many noisy samples one is above nearly always, and no budget would rise: their part counts.
-    part = switch.highs / max(1, switch.samples)
-    if expected_us(gateway, switch) > gateway.limit_us or part > DOWN_PART:
-        switch.above = True
-        switch.budget -= move * switch.news
-    elif part <= UP_PART:
-        switch.budget += move * switch.news
-    # Else it was above and is not by now: a further step would empty a line that drains. Danger: with
-    # no news a full switch's budgets climb. So only news steps, and never to nothing, which brings none.
+def step_budget(instance: InstanceState, switch: Switch, shares: dict[Group, float]) -> None:
+    """Step one switch's budget, divide it into quotas by group and pool the unused quota."""
+    move = max(min(1.0, MIN_FLEET_STEP / instance.settings.gateways), STEP_SHARE * switch.largest_budget)
+    # With few calls use the smoothed rate plus its standard deviation; alone it would lag behind a rise.
+    usual = max(
+        switch.sent, switch.send_rate + (switch.send_rate * (1 - COUNT_KEPT) / (1 + COUNT_KEPT)) ** 0.5
+    )
+    if not switch.throttled_intervals:
+        switch.budget = max(switch.budget, usual)  # follows what is sent while unthrottled
+    # Uses the share of samples: among many noisy ones some nearly always show overload.
+    part = switch.overload_samples / max(1, switch.load_samples)
+    if expected_wait_us(instance, switch) > instance.wait_limit_us or part > STEP_DOWN_SHARE:
+        switch.overloaded = True
+        switch.budget -= move * switch.wait_observed
+    elif part <= STEP_UP_SHARE:
+        switch.budget += move * switch.wait_observed
+    # Between the two shares the queue is already draining, and a further step down would empty it. Without
+    # an observed wait the budget doesn't move, or it would climb at a full switch; it stays above 0, as
+    # nothing more would be observed there.
     switch.budget = max(move, min(switch.budget, usual + move))
-    # Danger: if the throttle lapses while calls are refused, all gateways' redialled ones arrive at once.
-    kept = switch.above or (switch.pressed and switch.refused)
-    switch.pressed = MEMORY if kept else max(0, switch.pressed - switch.news)
-    switch.largest = max(switch.largest, switch.budget)
+    # If the throttle lapsed while calls are refused, the redials of all instances would arrive at once.
+    kept = switch.overloaded or (switch.throttled_intervals and switch.refused)
+    switch.throttled_intervals = (
+        THROTTLE_INTERVALS if kept else max(0, switch.throttled_intervals - switch.wait_observed)
+    )
+    switch.largest_budget = max(switch.largest_budget, switch.budget)
     quotas = {group: share * switch.budget for group, share in shares.items()}
-    spare = sum(max(0.0, quota - switch.asked[group]) for group, quota in quotas.items())
-    excess = {group: max(0.0, switch.asked[group] - quota) for group, quota in quotas.items()}
+    spare = sum(max(0.0, quota - switch.demand[group]) for group, quota in quotas.items())
+    excess = {group: max(0.0, switch.demand[group] - quota) for group, quota in quotas.items()}
     over = sum(excess.values())
     for group, quota in quotas.items():
         allowance = quota + (spare * excess[group] / over if over else 0.0)
-        # Up to one set-up is carried on, so that small allowances add up.
+        # Up to one set-up of credit is carried over, so that small allowances add up.
         switch.credit[group] = min(max(switch.credit[group], 0.0), 1.0) + allowance
-        switch.asked[group] *= KEEP
-    switch.rate *= KEEP
-    switch.above = switch.refused = switch.news = False
-    switch.samples = switch.highs = switch.sent = 0
+        switch.demand[group] *= COUNT_KEPT
+    switch.send_rate *= COUNT_KEPT
+    switch.overloaded = switch.refused = switch.wait_observed = False
+    switch.load_samples = switch.overload_samples = switch.sent = 0
--- a/bitternbeam/drill.py
+++ b/bitternbeam/drill.py
@@ -1,7 +1,7 @@
-"""The adapter: wire lines to events, actions to wire lines. It decides nothing.
+"""The simulator's adapter: translates its frames to events, and actions to frames.
 
-Many instances share a process and nothing else: each has its own Controller. Bad input ends the
-process with a plain message; a fault inside a decision is reported on the wire with its cause.
+Many instances run in one process, each with a Controller of its own and no shared state. Malformed input ends
+the process with an error message; an exception in a decision is reported on the wire with its cause.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
-from bitternbeam.settings import REPORT_FIELDS, WireError, read_settings
+from bitternbeam.settings import REPORT_FIELDS, InputError, read_settings
 
 T = TypeVar("T")
 
@@ -34,97 +34,97 @@
     "called_off": api.Outcome.CALLED_OFF,
     "not_sent": api.Outcome.NOT_SENT,
 }
-FULL_CAUSES = (3, 18)  # the processor, or the one beyond, was full
+OVERLOAD_CAUSES = (3, 18)  # the switch's processor, or the next one's, was overloaded
 
 
 class Fields:
-    """The name=value parts of one line, read by name."""
+    """The name=value fields of one line. Its methods raise InputError for missing or malformed values."""
 
     def __init__(self, parts: list[str]) -> None:
-        """Split the parts; each needs a name."""
+        """Parse the parts of a line."""
         self.values: dict[str, str] = {}
         for part in parts:
             name, equals, value = part.partition("=")
             if not equals or not name:
-                raise WireError(f"part {part!r} is not name=value")
+                raise InputError(f"part {part!r} is not name=value")
             self.values[name] = value
 
     def text(self, name: str) -> str:
         """Return a required value."""
         if self.values.get(name, "") == "":
-            raise WireError(f"value {name!r} is missing")
+            raise InputError(f"value {name!r} is missing")
         return self.values[name]
 
-    def whole(self, name: str, absent: int | None = None) -> int:
-        """Return a whole number; absent is what the wire means by leaving it out."""
+    def integer(self, name: str, absent: int | None = None) -> int:
+        """Return an integer; `absent` is the default if the wire omits the field."""
         if absent is not None and name not in self.values:
             return absent
         text = self.text(name)
         try:
             return int(text)
         except ValueError:
-            raise WireError(f"value {name!r} is not a whole number: {text!r}") from None
+            raise InputError(f"value {name!r} is not a whole number: {text!r}") from None
 
     def flag(self, name: str) -> bool:
-        """Return a bool; absent means false on this wire."""
+        """Return a boolean; a missing field means false."""
         text = self.values.get(name, "0")
         if text not in ("0", "1"):
-            raise WireError(f"value {name!r} is neither 0 nor 1: {text!r}")
+            raise InputError(f"value {name!r} is neither 0 nor 1: {text!r}")
         return text == "1"
 
-    def word(self, name: str, words: dict[str, T]) -> T:
-        """Return what a listed word stands for."""
+    def choice(self, name: str, words: dict[str, T]) -> T:
+        """Return the value for one of the given words."""
         text = self.text(name)
         if text not in words:
-            raise WireError(f"value {name!r} is unknown: {text!r}")
+            raise InputError(f"value {name!r} is unknown: {text!r}")
         return words[text]
 
     def report(self) -> api.Report | None:
-        """Return the processor's figures; None if there are none (-1: not told)."""
+        """Return the load report; None if it has no values (-1: not given)."""
         text = self.values.get("health_info", "")
-        figures: dict[str, float] = {}
+        values: dict[str, float] = {}
         for pair in text.split(",") if text else ():
             name, colon, value = pair.partition(":")
             try:
-                figure = float(value)
+                number = float(value)
             except ValueError:
                 colon = ""
             if not colon:
-                raise WireError(f"load report holds {pair!r}")
-            if name in REPORT_FIELDS and figure >= 0:
-                figures[REPORT_FIELDS[name]] = figure
-        return api.Report(**figures) if figures else None
+                raise InputError(f"load report holds {pair!r}")
+            if name in REPORT_FIELDS and number >= 0:
+                values[REPORT_FIELDS[name]] = number
+        return api.Report(**values) if values else None
 
 
 def read_event(word: str, fields: Fields) -> api.Event:
-    """Turn one instance's line into an event (lists are read by the host)."""
+    """Parse a line into an event; InstanceHost reads lists of switches."""
     if word == "CALL":
-        advice = fields.whole("hop", absent=-1)
+        advice = fields.integer("hop", absent=-1)
         return api.NewCall(
             call=fields.text("corr"),
             call_class=fields.text("class"),
-            cell=fields.whole("terminates_at"),
-            left_us=fields.whole("grace_us"),
+            cell=fields.integer("terminates_at"),
+            left_us=fields.integer("grace_us"),
             number=fields.values.get("item", ""),
             tenant=fields.values.get("billing"),
             redial=fields.flag("retry"),
             transit=fields.flag("transit"),
             again=fields.flag("again"),
-            advice=None if advice < 0 else advice,
+            suggested_cell=None if advice < 0 else advice,
         )
     if word == "ACCEPTED":
-        return api.Stands(
-            fields.text("corr"), fields.whole("trial"), fields.text("switch"), fields.whole("elapsed_us")
+        return api.AttemptAnswered(
+            fields.text("corr"), fields.integer("trial"), fields.text("switch"), fields.integer("elapsed_us")
         )
     if word == "RETURNED":
-        cause = fields.whole("cause", absent=0)
-        full = cause & 15 == 3 or cause in FULL_CAUSES
+        cause = fields.integer("cause", absent=0)
+        full = cause & 15 == 3 or cause in OVERLOAD_CAUSES
         return api.AttemptEnded(
             call=fields.text("corr"),
-            attempt=fields.whole("trial"),
+            attempt=fields.integer("trial"),
             switch=fields.text("switch"),
-            outcome=fields.word("rc", OUTCOMES),
-            took_us=fields.whole("elapsed_us"),
+            outcome=fields.choice("rc", OUTCOMES),
+            took_us=fields.integer("elapsed_us"),
             finished=fields.flag("last"),
             processor_full=full,
             no_line=cause == 1,
@@ -134,31 +134,31 @@
     if word == "WITHDRAWN":
         return api.Withdrawn(fields.text("corr"))
     if word == "TIMER":
-        return api.TimerDue(fields.whole("ref"))
+        return api.TimerDue(fields.integer("ref"))
     if word == "PROBE_DONE":
-        served = fields.word("rc", OUTCOMES) is api.Outcome.SERVED
+        served = fields.choice("rc", OUTCOMES) is api.Outcome.SERVED
         return api.ProbeAnswer(
-            fields.text("switch"), fields.whole("elapsed_us"), fields.report() if served else None
+            fields.text("switch"), fields.integer("elapsed_us"), fields.report() if served else None
         )
     if word == "PEER_DATA":
         octets = fields.text("octets")
         try:
             data = b"" if octets == "-" else base64.b64decode(octets, validate=True)
         except ValueError:
-            raise WireError(f"value 'octets' is not base64: {octets!r}") from None
-        return api.PeerMessage(fields.whole("origin_peer"), data)
-    raise WireError(f"unknown message {word!r}")
+            raise InputError(f"value 'octets' is not base64: {octets!r}") from None
+        return api.PeerMessage(fields.integer("origin_peer"), data)
+    raise InputError(f"unknown message {word!r}")
 
 
 def write_action(who: str, action: api.Action) -> str:
-    """Turn an action into its line."""
+    """Format an action as a line."""
     if isinstance(action, api.Send):
         return (
-            f"CALL_OUT who={who} corr={action.call} give_up_after_us={action.give_up_us} "
+            f"CALL_OUT who={who} corr={action.call} give_up_after_us={action.timeout_us} "
             f"switch={action.switch}"
         )
     if isinstance(action, api.Refuse):
-        return f"SHED who={who} corr={action.call} stay_away_us={action.stay_away_us}"
+        return f"SHED who={who} corr={action.call} stay_away_us={action.retry_after_us}"
     if isinstance(action, api.Fail):
         return f"REPORT_FAILURE who={who} corr={action.call}"
     if isinstance(action, api.Cancel):
@@ -172,52 +172,52 @@
     return f"RECORD who={who} what={' '.join(action.text.split())}"
 
 
-class Host:
-    """The instances of one process and the numbered lists it was given."""
+class InstanceHost:
+    """The instances of one process and the numbered_lines lists of switches."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create a host without instances and lists."""
         self.instances: dict[str, Controller] = {}
-        self.banks: dict[int, tuple[api.SwitchEntry, ...]] = {}
+        self.lists: dict[int, tuple[api.SwitchEntry, ...]] = {}
 
-    def take(self, now_us: int, line: str, lines: Iterator[str]) -> list[str]:
-        """Handle one line of a batch; a list takes its entries from the lines that follow."""
+    def handle_line(self, now_us: int, line: str, lines: Iterator[str]) -> list[str]:
+        """Handle one line of a batch and return the reply; a list reads its entries from `lines`."""
         word, _, rest = line.partition(" ")
         if word == "BEGIN":
-            return self.begin(now_us, rest)
+            return self.start_instance(now_us, rest)
         fields = Fields(rest.split(" ") if rest else [])
         if word == "TABLE":
-            count = fields.whole("records")
-            self.banks[fields.whole("bank")] = tuple(read_entry(next(lines, "")) for _ in range(count))
+            count = fields.integer("records")
+            self.lists[fields.integer("bank")] = tuple(read_entry(next(lines, "")) for _ in range(count))
             return []
         who = fields.text("who")
         if word == "STOP":
             self.instances.pop(who, None)
             return []
         if who not in self.instances:
-            raise WireError(f"instance {who!r} was never started")
+            raise InputError(f"instance {who!r} was never started")
         if word == "DIRECTORY_UPDATE":
-            kind = fields.word("mode", KINDS)
-            bank = -1 if kind is api.ListKind.FAILED else fields.whole("bank")
-            if bank >= 0 and bank not in self.banks:
-                raise WireError(f"list {bank} was never given")
-            event: api.Event = api.ListEvent(kind, self.banks[bank] if bank >= 0 else ())
+            kind = fields.choice("mode", KINDS)
+            bank = -1 if kind is api.ListKind.FAILED else fields.integer("bank")
+            if bank >= 0 and bank not in self.lists:
+                raise InputError(f"list {bank} was never given")
+            event: api.Event = api.ListEvent(kind, self.lists[bank] if bank >= 0 else ())
         else:
             event = read_event(word, fields)
-        return self.decide(who, now_us, event)
+        return self.run_decision(who, now_us, event)
 
-    def begin(self, now_us: int, rest: str) -> list[str]:
+    def start_instance(self, now_us: int, rest: str) -> list[str]:
         """Start an instance; its settings run to the end of the line."""
         head, mark, text = rest.partition("params=")
         if not mark:
-            raise WireError("value 'params' is missing")
+            raise InputError("value 'params' is missing")
         fields = Fields(head.split())
         who = fields.text("who")
-        self.instances[who] = Controller(read_settings(text), fields.whole("entropy"))
+        self.instances[who] = Controller(read_settings(text), fields.integer("entropy"))
         return []
 
-    def decide(self, who: str, now_us: int, event: api.Event) -> list[str]:
-        """Put an event to its instance; a fault in there is told with its cause."""
+    def run_decision(self, who: str, now_us: int, event: api.Event) -> list[str]:
+        """Pass an event to its instance; an exception there is reported on the wire."""
         try:
             return [write_action(who, action) for action in self.instances[who].handle(now_us, event)]
         except Exception as error:
@@ -225,64 +225,64 @@
 
 
 def read_entry(line: str) -> api.SwitchEntry:
-    """Read a line of a list."""
+    """Parse an entry of a list."""
     word, _, rest = line.partition(" ")
     if word != "ENTRY":
-        raise WireError(f"the list is short: found {line!r}")
+        raise InputError(f"the list is too short: found {line!r} instead of an entry")
     fields = Fields(rest.split(" "))
     return api.SwitchEntry(
         switch=fields.text("switch"),
-        cell=fields.whole("cell"),
-        state=fields.word("mode", STATES),
-        started_at_us=fields.whole("started_at_us", absent=0),
+        cell=fields.integer("cell"),
+        state=fields.choice("mode", STATES),
+        started_at_us=fields.integer("started_at_us", absent=0),
     )
 
 
-def serve(source: TextIO, sink: TextIO, trouble: TextIO) -> int:
-    """Answer batches until the input ends; the exit status is 0 unless the input is unreadable."""
-    host = Host()
+def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answer batches until the input ends; returns exit status 0, or 1 if the input was malformed."""
+    host = InstanceHost()
     number = 0
     line = ""
     now_us: int | None = None
     seq = ""
 
-    def numbered() -> Iterator[str]:
+    def numbered_lines() -> Iterator[str]:
         nonlocal number, line
         for raw in source:
             number += 1
             line = raw.rstrip("\r\n")
             yield line
 
-    lines = numbered()
+    lines = numbered_lines()
     reply: list[str] = []
     try:
         for text in lines:
             word, _, rest = text.partition(" ")
             if word == "ROUND":
                 if now_us is not None:
-                    raise WireError("a batch began inside a batch")
+                    raise InputError("a batch began inside a batch")
                 fields = Fields(rest.split(" "))
-                now_us, seq, reply = fields.whole("moment_us"), fields.text("seq"), []
+                now_us, seq, reply = fields.integer("moment_us"), fields.text("seq"), []
             elif word == "":
                 continue
             elif now_us is None:
-                raise WireError(f"message {word!r} outside a batch")
+                raise InputError(f"message {word!r} outside a batch")
             elif word == "FLUSH":
                 sink.write("\n".join([*reply, f"READY seq={seq}"]) + "\n")
                 sink.flush()
                 now_us = None
             else:
-                reply.extend(host.take(now_us, text, lines))
+                reply.extend(host.handle_line(now_us, text, lines))
         if now_us is not None:
-            raise WireError("the input ended inside a batch")
-    except (WireError, UnicodeDecodeError) as error:
-        trouble.write(f"bitternbeam: line {number}: {error}: {line[:200]}\n")
+            raise InputError("the input ended inside a batch")
+    except (InputError, UnicodeDecodeError) as error:
+        errors.write(f"bitternbeam: line {number}: {error}: {line[:200]}\n")
         return 1
     return 0
 
 
 def main() -> int:
-    """Serve standard input and output."""
+    """Serve on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return serve(sys.stdin, sys.stdout, sys.stderr)
 
--- a/bitternbeam/lab/storm.py
+++ b/bitternbeam/lab/storm.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any
 
-from bitternbeam.fleet.limits.bound import over_window
-from bitternbeam.fleet.limits.grants import grants_of
-from bitternbeam.fleet.limits.records import work_of
+from bitternbeam.fleet.limits.bound import rate_excess
+from bitternbeam.fleet.limits.grants import parse_grants
+from bitternbeam.fleet.limits.records import work_name
 from bitternbeam.fleet.limits.terms import Limit
-from bitternbeam.fleet.returns.epoch import PACED, Epoch, epoch_of
-from bitternbeam.fleet.returns.pacing import PURSE_LEAST, PURSE_MOST
-from bitternbeam.fleet.returns.settings import ReturnSettings
+from bitternbeam.fleet.returns.admission import MAX_BUCKET_FACTOR, MIN_BUCKET_TOKENS
+from bitternbeam.fleet.returns.settings import ReconnectSettings
+from bitternbeam.fleet.returns.window import PACED, AdmissionWindow, parse_window
 from bitternbeam.lab.called import Called
 from bitternbeam.lab.loads import WAYS_US, S
 from bitternbeam.lab.processes import LabError
@@ -61,8 +61,8 @@
         self.paces = pacing == "returns"
         self.apart_ms = APART_MS
         self.resized = {f"most = {members}": f"most = {2 * members}"}
-        self.settings = ReturnSettings(cap_ms=AWAY_MS, period_ms=PERIOD_MS)
-        self.records: list[tuple[int, Epoch]] = []  # as they came, each with when it was seen
+        self.settings = ReconnectSettings(cap_ms=AWAY_MS, period_ms=PERIOD_MS)
+        self.records: list[tuple[int, AdmissionWindow]] = []  # as they came, each with when it was seen
 
     def platform(self) -> dict[str, Any]:
         """Return settings with a class for returns too, and with waits that callers heed."""
@@ -84,10 +84,10 @@
         """Let clients come back."""
         self.order(self.callers, f"clients {number} {heed} {within_ms} {self.how}")
 
-    def look(self) -> Epoch | None:
+    def look(self) -> AdmissionWindow | None:
         """Return the epoch that the engine holds now, and keep it for the judge."""
         try:
-            epoch = epoch_of(self.record("returns"))
+            epoch = parse_window(self.record("returns"))
         except (LabError, OSError, ValueError, KeyError, TypeError):
             return None  # the engine is at fault just now
         if epoch is not None and (not self.records or self.records[-1][1] != epoch):
@@ -97,12 +97,12 @@
     def paced(self) -> bool:
         """Whether slots are told."""
         epoch = self.look()
-        return epoch is not None and epoch.phase == PACED and epoch.live(int(time.time() * 1000))
+        return epoch is not None and epoch.phase == PACED and epoch.is_open(int(time.time() * 1000))
 
     def even(self) -> bool:
         """Whether every member has as much of the budget as any other: nothing is left of a fault before."""
         try:
-            grants = grants_of(self.record(work_of(self.limit.name)))
+            grants = parse_grants(self.record(work_name(self.limit.name)))
         except (LabError, OSError, ValueError, KeyError, TypeError):
             return False
         if grants is None or not grants.rows.keys() >= set(self.names):
@@ -125,6 +125,6 @@
         """
         part = safe * self.budget
         members = len(self.names)
-        over = over_window(self.limit, members, WINDOW_US, part, way_us=WAYS_US)
-        purses = PURSE_MOST * (part * self.settings.purse_ms / 1000 + members * PURSE_LEAST)
+        over = rate_excess(self.limit, members, WINDOW_US, part, delay_spread_us=WAYS_US)
+        purses = MAX_BUCKET_FACTOR * (part * self.settings.purse_ms / 1000 + members * MIN_BUCKET_TOKENS)
         return part * WINDOW_US / S + over + purses
--- a/bitternbeam/figures/pool.py
+++ b/bitternbeam/metrics/pool.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 
 from bitternbeam.decision.interface import SwitchState
-from bitternbeam.decision.routing import FAILING
+from bitternbeam.decision.routing import FAILING_ERROR_SHARE
 from bitternbeam.decision.state import Switch
 
 
-def avoided(switches: Mapping[str, Switch], listed: Mapping[str, SwitchState]) -> int:
+def count_ejected(switches: Mapping[str, Switch], listed: Mapping[str, SwitchState]) -> int:
     """Count the listed bookers that get no ordinary traffic: draining, suspect, or failing what others take.
 
     A suspect booker gets single trial set-ups and a failing one is the last resort (decision/routing.py);
@@ -19,7 +19,7 @@
     for name, state in listed.items():
         switch = switches.get(name)
         if state is not SwitchState.READY or (
-            switch is not None and (switch.suspect or switch.errors > FAILING)
+            switch is not None and (switch.suspect or switch.error_share > FAILING_ERROR_SHARE)
         ):
             count += 1
     return count
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What an old process learned, taken by the new one: whole and true, or not at all."""
+"""Handover of learned state to a new process: complete and valid, or rejected as a whole."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import bitternbeam
 import bitternbeam.decision.interface as api
 from bitternbeam.decision.choice import Controller
-from bitternbeam.decision.handover import MisfitError, digest, given, taken
+from bitternbeam.decision.handover import StateMismatchError, digest, export_state, import_state
 from bitternbeam.wiring.handover import Handover
 from tests.loop import parts
 from tests.world import MS, SECOND, SETTINGS, World
@@ -21,72 +21,72 @@
 
 
 def learned() -> World:
-    """Return a world whose module has learned what its switches bear, s1 under pressure."""
+    """Return a world whose controller has learned budgets, with s1 overloaded."""
     world = World()
-    world.traffic(20, 40)
-    world.feed(api.ProbeAnswer("s1", 0, api.Report(busy=0.99, free=3, size=50)))
-    world.traffic(2, 40, cell=1)
+    world.offer_calls(20, 40)
+    world.feed(api.ProbeAnswer("s1", 0, api.Report(utilization=0.99, free_lines=3, total_lines=50)))
+    world.offer_calls(2, 40, cell=1)
     return world
 
 
 def fresh(now_us: int) -> Controller:
-    """Return a module of a new process that was told the list."""
+    """Return the controller of a new process that knows only the list."""
     module = Controller(SETTINGS, 9)
     entries = tuple(api.SwitchEntry(f"s{cell}", cell, api.SwitchState.READY) for cell in (0, 1))
     module.handle(now_us, api.ListEvent(api.ListKind.CACHED, entries))
     return module
 
 
-def test_a_new_module_goes_on_with_what_the_old_one_learned() -> None:
+def test_a_new_controller_continues_with_the_learned_state() -> None:
     world = learned()
-    raw = json.loads(json.dumps(taken(world.controller, world.now, AGREED)))
-    module = fresh(world.now + 300 * MS)
-    assert given(module, raw, world.now + 300 * MS, AGREED) == 2
+    raw = json.loads(json.dumps(export_state(world.controller, world.now_us, AGREED)))
+    module = fresh(world.now_us + 300 * MS)
+    assert import_state(module, raw, world.now_us + 300 * MS, AGREED) == 2
     for name, old in world.controller.switches.items():
         new = module.switches[name]
         for key in (
             "budget",
-            "largest",
-            "rate",
+            "largest_budget",
+            "send_rate",
             "wait_us",
-            "free",
-            "size",
-            "pressed",
-            "cold_since_us",
+            "free_lines",
+            "total_lines",
+            "throttled_intervals",
+            "slow_start_since_us",
             "suspect",
-            "paced_us",
-            "phase",
+            "gap_start_us",
+            "gap_phase",
         ):
             assert getattr(new, key) == getattr(old, key), key
-        assert not new.out  # calls are never handed over
-    assert module.answered == world.controller.answered > 0
-    assert module.stood_in == world.controller.stood_in
-    assert module.weight == world.controller.weight > 0
-    assert module.seen == pytest.approx(world.controller.seen, abs=1e-4)
+        assert not new.unanswered  # calls are never handed over
+    assert module.answered_calls == world.controller.answered_calls > 0
+    assert module.answered_by_cell == world.controller.answered_by_cell
+    assert module.observed_intervals == world.controller.observed_intervals > 0
+    assert module.group_counts == pytest.approx(world.controller.group_counts, abs=1e-4)
 
 
-def test_a_new_module_refuses_no_more_than_the_old_one_would() -> None:
-    # Started from nothing beside a pressed pool, it refused a fifth of what could be sent.
+def test_imported_budgets_are_larger_than_those_of_an_empty_start() -> None:
+    # Without the state, a controller of an overloaded pool refused a fifth of the calls it could have sent.
     world = learned()
-    raw = taken(world.controller, world.now, AGREED)
+    raw = export_state(world.controller, world.now_us, AGREED)
     budgets = []
     for state in (raw, None):
-        module = fresh(world.now)
+        module = fresh(world.now_us)
         if state is not None:
-            given(module, state, world.now, AGREED)
-        budgets.append(sum(one.largest for one in module.switches.values()))
+            import_state(module, state, world.now_us, AGREED)
+        budgets.append(sum(one.largest_budget for one in module.switches.values()))
     assert budgets[0] > 3 * max(1.0, budgets[1])
 
 
-def test_one_that_was_replaced_between_the_two_starts_from_nothing() -> None:
+def test_a_switch_restarted_in_between_gets_no_stored_state() -> None:
     world = learned()
-    raw = taken(world.controller, world.now, AGREED)
-    module = fresh(world.now)
-    entry = api.SwitchEntry("s0", 0, api.SwitchState.READY, world.now - SECOND)
-    module.handle(world.now, api.ListEvent(api.ListKind.CHANGES, (entry,)))
-    assert given(module, raw, world.now, AGREED) == 1
-    assert module.switches["s0"].largest == 0 and module.switches["s0"].cold_since_us is not None
-    assert module.switches["s1"].largest > 0
+    raw = export_state(world.controller, world.now_us, AGREED)
+    module = fresh(world.now_us)
+    entry = api.SwitchEntry("s0", 0, api.SwitchState.READY, world.now_us - SECOND)
+    module.handle(world.now_us, api.ListEvent(api.ListKind.CHANGES, (entry,)))
+    assert import_state(module, raw, world.now_us, AGREED) == 1
+    assert module.switches["s0"].largest_budget == 0 and module.switches["s0"].slow_start_since_us is not None
+    assert module.switches["s1"].largest_budget > 0
 
 
 def spoil(key: str, value: Any) -> Callable[[dict[str, Any]], None]:
@@ -100,35 +100,35 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        (spoil("format", 1), "another form"),
+        (spoil("format", 1), "another format"),
         (spoil("agreed", "x"), "another program version or other settings"),
         (spoil("at_us", 10**18), "from the future"),
         (spoil("at_us", 1), "s old"),
-        (spoil("switches", None), "not whole"),
-        (spoil("switches", {"s0": {}}), "not whole"),
-        (spoil("answered", "much"), "no number"),
+        (spoil("switches", None), "incomplete or malformed"),
+        (spoil("switches", {"s0": {}}), "incomplete or malformed"),
+        (spoil("answered", "much"), "not a number"),
         (spoil("seen", [["none", True, 1]]), "not in the settings"),
         (spoil_switch("budget", -1), "out of range"),
-        (spoil_switch("budget", float("nan")), "no number"),
-        (spoil_switch("suspect", 1), "a flag is none"),
-        (spoil_switch("asked", [["low"]]), "not whole"),
-        (lambda raw: raw.pop("stood_in"), "not whole"),
+        (spoil_switch("budget", float("nan")), "not a number"),
+        (spoil_switch("suspect", 1), "a flag is not a boolean"),
+        (spoil_switch("asked", [["low"]]), "incomplete or malformed"),
+        (lambda raw: raw.pop("stood_in"), "incomplete or malformed"),
     ],
 )
-def test_what_does_not_fit_changes_nothing(change: Callable[[dict[str, Any]], None], why: str) -> None:
+def test_a_rejected_state_changes_nothing(change: Callable[[dict[str, Any]], None], why: str) -> None:
     world = learned()
-    raw = taken(world.controller, world.now, AGREED)
+    raw = export_state(world.controller, world.now_us, AGREED)
     change(raw)
-    module = fresh(world.now)
-    before = {name: one.largest for name, one in module.switches.items()}
-    with pytest.raises(MisfitError, match=why):
-        given(module, raw, world.now, AGREED)
-    assert {name: one.largest for name, one in module.switches.items()} == before
-    assert module.answered == 0
+    module = fresh(world.now_us)
+    before = {name: one.largest_budget for name, one in module.switches.items()}
+    with pytest.raises(StateMismatchError, match=why):
+        import_state(module, raw, world.now_us, AGREED)
+    assert {name: one.largest_budget for name, one in module.switches.items()} == before
+    assert module.answered_calls == 0
 
 
 class Side:
-    """One process's hand-over, without the process."""
+    """The handover of one process."""
 
     def __init__(self, folder: Path, name: str = "n1") -> None:
         self.deadlines, self.counters = parts()
@@ -139,20 +139,20 @@
         self.hand = Handover(common, self.module, folder)
 
 
-def test_a_file_goes_from_one_process_to_the_next(tmp_path: Path) -> None:
+def test_a_file_is_passed_from_one_process_to_the_next(tmp_path: Path) -> None:
     old, new = Side(tmp_path), Side(tmp_path)
-    old.module.switches["s0"].largest = 7.5
+    old.module.switches["s0"].largest_budget = 7.5
     old.hand.keep()
     old.hand.stop()
     new.hand.take()
-    assert new.module.switches["s0"].largest == 7.5 and new.counters["handover.taken"] == 1
+    assert new.module.switches["s0"].largest_budget == 7.5 and new.counters["handover.taken"] == 1
     other = Side(tmp_path, "another")
     other.hand.take()
-    assert other.module.switches["s0"].largest == 0  # its own name, its own file
+    assert other.module.switches["s0"].largest_budget == 0  # each name has its own file
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b"[]", b"\xff\xfe", b"{}", b"[" * 100_000, b" " * (5 << 20)])
-def test_a_file_that_is_none_of_ours_is_one_line_and_a_start_from_nothing(
+def test_an_invalid_file_is_logged_in_one_line_and_ignored(
     tmp_path: Path, content: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     side = Side(tmp_path)
@@ -160,10 +160,10 @@
     side.hand.take()
     (line,) = [one.getMessage() for one in caplog.records]
     assert line.endswith("starting from nothing") and "\n" not in line
-    assert side.module.switches["s0"].largest == 0 and side.counters["handover.refused"] == 1
+    assert side.module.switches["s0"].largest_budget == 0 and side.counters["handover.refused"] == 1
 
 
-def test_without_a_folder_nothing_is_left_and_nothing_breaks(
+def test_a_missing_folder_is_logged_once_and_ignored(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     side = Side(tmp_path / "none")
