--- a/bitternbeam/wiring/configured/build.py
+++ b/bitternbeam/wiring/configured/build.py
@@ -70,7 +70,7 @@
     )  # fmt: skip
     daemon.parts.append(member)
     for part in parts:
-        part.core.bounds = member.bounds()
+        part.core.limiter = member.bounds()
     keeper.checks += member.checks(configuration.offer_file)
     if fleet.directory:
         keeper.checks.append(one_directory)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -70,7 +70,7 @@
     wires, first, second = Wires(Script("a"), "a"), Held(), Held(offers=1, away_us=70_000)
     told: list[int] = []
     wires.core.settings = replace(wires.core.settings, max_stay_away_us=100_000)
-    wires.refused = lambda _ref, away_us: told.append(away_us)  # type: ignore[attr-defined]
+    wires.send_refusal = lambda _ref, away_us: told.append(away_us)  # type: ignore[attr-defined]
     chain_of(wires, first, second)
     wires.offer(1)
     wires.offer(2)
@@ -82,7 +82,7 @@
     wires, first, second = Wires(Script("a", "b"), "a", "b"), Held(), Held(attempts=0)
     chain_of(wires, first, second)
     wires.offer(1)
-    assert not wires.sent and wires.said == [("refused", 1)]
+    assert not wires.sent and wires.said == [("send_refusal", 1)]
     assert first.held == {"": 0, "a": 0, "b": 0}
     assert wires.bounds.report(wires.now()).bookers == {}  # nothing counts as sent
     second.attempts = 1
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -145,7 +145,7 @@
     for number in range(6):
         offer = Offer(f"c{number}", "low", 0, 3_000_000, now_us, f"n{number}", "", ref=number, redial=True)
         core.offer(front, offer)  # type: ignore[arg-type]
-    assert front.said == [("refused", 2, 1_000_000), ("refused", 5, 1_000_000)]
+    assert front.said == [("send_refusal", 2, 1_000_000), ("send_refusal", 5, 1_000_000)]
     assert counters["sends"] == 4 and counters["calls.refused_by_plugin"] == 2
 
 
--- a/tests/test_wiring.py
+++ b/tests/test_wiring.py
@@ -101,7 +101,7 @@
 
 
 def test_a_plug_in_comes_and_goes_with_its_version_and_a_bad_one_turns_it_down() -> None:
-    core = SimpleNamespace(gate=None)
+    core = SimpleNamespace(admission_filter=None)
     part = SimpleNamespace(name="platform", core=core)
     common = SimpleNamespace(config=SimpleNamespace(settings=SETTINGS))
     daemon: Any = SimpleNamespace(serving=[part], common=common, counters=Counters())
@@ -114,17 +114,17 @@
     follower.begin(none)
     with pytest.raises(DocumentError) as caught:
         follower.check(none, version("nothing.wat"))
-    assert caught.value.faults[0].key == "plugin.file" and core.gate is None
+    assert caught.value.faults[0].key == "plugin.file" and core.admission_filter is None
     good = version("plugin.wat")
     follower.check(none, good)
-    assert core.gate is None  # checked, not applied
+    assert core.admission_filter is None  # checked, not applied
     follower(good)
-    gate = core.gate
+    gate = core.admission_filter
     assert gate is not None
     follower(good)
-    assert core.gate is gate
+    assert core.admission_filter is gate
     follower(none)  # a rollback
-    assert core.gate is None
+    assert core.admission_filter is None
 
 
 # The module.
