--- a/bitternbeam/core/__init__.py
+++ b/bitternbeam/core/__init__.py
@@ -1,1 +1,1 @@
-"""Calls, attempts and outcomes: no wire is known here."""
+"""Calls, attempts and their outcomes, independent of any wire protocol."""
--- a/bitternbeam/core/admission.py
+++ b/bitternbeam/core/admission.py
@@ -1,4 +1,4 @@
-"""Whether an offer becomes a call: its version's limits, the plugin's gate, the fleet's bounds."""
+"""Admission of an offer: the limits of its plan, the plugin's filter and the fleet's limiters."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(slots=True)
 class Admitted:
-    """An offer that becomes a call."""
+    """An admitted offer."""
 
     plan: Plan
     admission_filter: AdmissionFilter | None
-    allowed: tuple[Tier, ...] | None  # less the bookers that are dry now
+    allowed: tuple[Tier, ...] | None  # without the bookers exhausted at this time
 
 
 @dataclass(slots=True)
 class Rejected:
-    """An offer that is refused before it becomes a call; the caller stays away for so long."""
+    """An offer refused at admission; its client may retry after retry_after_us."""
 
-    counter: str  # the counter
+    counter: str  # name of the counter to increment
     retry_after_us: int
-    plan: Plan | None  # None: nothing is pinned for it
+    plan: Plan | None  # None: no plan was pinned
 
 
 def admit(
@@ -38,7 +38,7 @@
     policies: PlanProvider | None,
     bounds: TrafficLimiter | None,
 ) -> Admitted | Rejected:
-    """Ask everyone who may refuse an offer, in the order of what it costs."""
+    """Ask the plan provider, the filter and the limiter in turn, cheapest first; the first refusal counts."""
     plan = policies.pin_plan(now_us, offer) if policies else NO_PLAN
     if isinstance(plan, int):
         return Rejected("calls.over_their_limits", min(plan, most_away_us), None)
--- a/bitternbeam/core/calls.py
+++ b/bitternbeam/core/calls.py
@@ -1,4 +1,4 @@
-"""The core's records: what a front offers, the call it becomes, and its attempts."""
+"""The core's records of offers, plans and attempts."""
 
 from __future__ import annotations
 
@@ -11,69 +11,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A call as a front hands it over; the core reads no description."""
+    """A call as a frontend hands it over; the core does not read its description."""
 
     uid: str
     call_class: str
-    cell: int  # of the booker of first choice
-    left_us: int  # from taken_us on
+    cell: int  # of the preferred booker
+    left_us: int  # counted from received_us
     received_us: int
     number: str
-    body: object  # the description, passed on as it is
-    ref: int = 0  # the front's own handle, given back with every answer
+    body: object  # the description, passed on unchanged
+    ref: int = 0  # the frontend's handle, passed back with every answer
     redial: bool = False
     again: bool = False
-    client: str = ""  # its address; empty: not told
+    client: str = ""  # its address; empty if unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What one version of the configuration says of a call: pinned at the offer, for all attempts."""
+    """What one configuration version allows a call; fixed at the offer for all attempts."""
 
     version: str = ""
-    allowed: tuple[Tier, ...] | None = None  # in order of preference; None: every listed booker
-    max_attempts: int | None = None  # at the most; None: as the settings say
+    allowed: tuple[Tier, ...] | None = None  # in order of preference; None: all listed bookers
+    max_attempts: int | None = None  # None: as in the settings
     answer_in_us: int | None = (
-        None  # the final answer comes so long after the call; None: when its caller leaves
+        None  # latest final answer after the call arrived; None: when its client leaves
     )
-    client: str = ""  # whose limits count it
-    differs_from_previous: bool = False  # the version before would have said something else
-    previous_allowed: tuple[Tier, ...] | None = None  # what it allowed, where the two differ
+    client: str = ""  # whose limits apply to the call
+    differs_from_previous: bool = False  # whether the previous version has another plan
+    previous_allowed: tuple[Tier, ...] | None = None  # what the previous version allowed, if it differs
 
 
 NO_PLAN = Plan()
 
 
 class CallState(Enum):
-    """How far a call has come."""
+    """The progress of a call."""
 
-    PENDING = "pending"  # its final answer is owed
+    PENDING = "pending"  # no final answer yet
     ESTABLISHED = "standing"
-    ENDED = "over"  # nothing more is owed; an attempt may still be out
+    ENDED = "over"  # finally answered or released; an attempt may still be in flight
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One set-up on its way to a booker."""
+    """One try of a call at a booker."""
 
-    call_handle: int  # the call's handle
+    call_handle: int  # the call's slot in the call table
     number: int  # 0, 1, 2 ... within the call
     booker: str
     offer: Offer
-    timeout_us: int  # how long it is waited for
-    decided_us: int  # when it was decided on
-    server_started_us: int = 0  # the server's last start, as it was listed then
-    unsent: bool = False  # it waits for a connection: it surely has not run
+    timeout_us: int  # how long its answer is waited for
+    decided_us: int  # time of the decision to send it
+    server_started_us: int = 0  # the server's last start as listed at that time
+    unsent: bool = False  # waits for a connection, so it has certainly not run
     deadline: Deadline | None = None
-    cancel_outcome: Outcome | None = None  # told to the back; its end is still to come
+    cancel_outcome: Outcome | None = None  # the outcome once the backend has cancelled it
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt ended, as a back tells it."""
+    """How an attempt ended, as reported by the backend."""
 
     outcome: Outcome
     processor_full: bool = False
     no_line: bool = False
     report: Report | None = None
-    connection_broken: bool = False  # its connection broke under it, which tells nothing of the booker
+    connection_broken: bool = False  # says nothing about the booker itself
--- a/bitternbeam/core/control.py
+++ b/bitternbeam/core/control.py
@@ -1,8 +1,8 @@
-"""The life of every call: the module decides, the core carries out and holds the rules.
+"""The life cycle of calls: the decision module decides; the core executes and enforces the rules.
 
-Whatever the module says, a call gets one final answer before its caller leaves, has one attempt
-out at a time, is not sent where the list says 'draining' or 'gone', and is not sent again before
-a release that is in doubt has had its time.
+Whatever the module decides, a call gets one final answer before its client leaves, has one attempt
+in flight at a time, is not sent to a booker that is listed as draining or gone, and is not sent
+again while a release whose effect is uncertain may still be in progress.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class CallControl(CallTable):
-    """The call table, the deadlines, the drain and the shutdown of one group of bookers."""
+    """Handles the calls, attempts and deadlines of one group of bookers."""
 
     def __init__(
         self, module: DecisionModule, settings: api.Settings, clock: Clock, limits: Limits, counters: Counters
@@ -34,7 +34,7 @@
 
     @property
     def has_booker_list(self) -> bool:
-        """Tell whether the list of bookers was told once, if only from the configuration."""
+        """Return whether a list of bookers was received, possibly from the configuration alone."""
         return self.listing.received
 
     @property
@@ -47,13 +47,13 @@
         """Return the cells of the bookers listed."""
         return self.listing.cells
 
-    # From fronts.
+    # Called by frontends.
 
     def offer(self, front: Frontend, offer: Offer) -> int:
-        """Take a call; returns its handle. The answer may come before this returns."""
+        """Accept a call and return its handle, 0 if refused. The answer may be sent before this returns."""
         self.counters.add("calls.offered")
         if offer.uid in self.by_uid or offer.call_class not in self.classes:
-            # Two calls of one name could not be told apart at the booker.
+            # The booker could not tell two calls with one id apart.
             self.counters.add("calls.unusable")
             self.metrics.increment("errors", offer.call_class)
             front.send_failure(offer.ref, late=False)
@@ -85,8 +85,8 @@
         call.deadline = self.clock.call_at(end_us, lambda: self._time_up(call))
         call.release_wait_until_us = self.held_ids.get(offer.uid, 0)
         if now_us < call.release_wait_until_us:
-            # Danger: under this id an attempt was out just now, whose release is in doubt: one more would
-            # make two at once.
+            # An earlier attempt with this id may still be held by a booker, as its release is uncertain;
+            # another attempt now could make two at once.
             self.counters.add("calls.held_as_repeats")
             self.clock.call_at(call.release_wait_until_us, lambda: self._put(call, verdict.allowed))
         else:
@@ -94,7 +94,7 @@
         return call.handle
 
     def _put(self, call: Call, allowed: tuple[api.Tier, ...] | None) -> None:
-        """Put a call to the module, if it is still owed its answer."""
+        """Pass a call to the decision module if it has no final answer yet."""
         if call.state is not CallState.PENDING:
             return
         offer = call.offer
@@ -123,7 +123,7 @@
             self.plan_provider.call_ended(verdict.plan)
 
     def withdraw(self, handle: int) -> None:
-        """Owe a caller who gave up a set-up nothing more."""
+        """Withdraw a call whose client gave up; no answer is sent."""
         call = self.calls.get(handle)
         if call is None or call.state is not CallState.PENDING:
             return
@@ -134,17 +134,17 @@
         self.remove_if_finished(call)
 
     def release(self, handle: int) -> None:
-        """End a call that stands, at the caller's word."""
+        """End an established call at the client's request."""
         call = self.calls.get(handle)
         if call is None or call.state is not CallState.ESTABLISHED or call.current_attempt is None:
             return
         self.counters.add("calls.released_by_caller")
         self.hang_up(call)
 
-    # From backs.
+    # Called by backends.
 
     def attempt_answered(self, attempt: Attempt, body: object) -> bool:
-        """Take an answer; False if nobody waits for it, so that the back must release it."""
+        """Accept an answer; False if nobody waits for it, so that the backend must release it."""
         call = self.calls.get(attempt.call_handle)
         if (
             call is None
@@ -169,10 +169,10 @@
         return True
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Decide again at the moment of writing; False: the back writes nothing and ends it as NOT_SENT.
+        """Check an attempt again just before it is written; False: the backend ends it as NOT_SENT.
 
-        The rules and the client's presence were those of the moment of the decision, and an attempt may
-        wait long for a connection. The shares of the fleet (Bounds) counted it then and hold until its end.
+        An attempt may wait long for a connection, and the rules and the client's presence were checked when
+        it was decided. The traffic limiter counted it then and counts it until its end.
         """
         call = self.calls.get(attempt.call_handle)
         why = staleness_reason(call, attempt, self.clock.now_us(), self.listing)
@@ -184,18 +184,18 @@
         return not why
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """Count an attempt whose set-up has been handed whole to the booker's connection."""
+        """Count an attempt whose set-up was handed completely to the booker's connection."""
         attempt.unsent = False
         self.metrics.increment("tries", attempt.offer.call_class)
 
     def attempt_progressed(self, attempt: Attempt) -> None:
-        """Take word that a booker is at it."""
+        """Pass on that a booker is working on the attempt."""
         call = self.calls.get(attempt.call_handle)
         if call is not None and call.current_attempt is attempt and call.state is CallState.PENDING:
             call.front.send_progress(call.offer.ref)
 
     def attempt_ended(self, attempt: Attempt, end: AttemptEnd) -> None:
-        """Take the end of an attempt, before or after its answer."""
+        """Record the end of an attempt, before or after its answer."""
         call = self.calls.get(attempt.call_handle)
         if call is None or call.current_attempt is not attempt:
             return
@@ -210,32 +210,32 @@
         self.remove_if_finished(call)
 
     def report_received(self, booker: str, report: api.Report) -> None:
-        """Take the state of a booker's lines that came unasked."""
+        """Record a load report that a booker sent unasked."""
         self.event_queue.process(api.ProbeAnswer(booker, 0, report))
 
     def probe_ended(self, booker: str, took_us: int, report: api.Report | None) -> None:
-        """Take the answer to a probe, or that none came in took_us."""
+        """Record the answer to a probe; None if none came within took_us."""
         self.event_queue.process(api.ProbeAnswer(booker, took_us, report))
 
-    # From directories.
+    # Called by directories.
 
     def update_bookers(self, kind: api.ListKind, entries: Iterable[api.SwitchEntry]) -> None:
-        """Take news of the list."""
+        """Apply changes to the list of bookers."""
         entries = tuple(entries)
         self.listing.update(kind, entries)
         self.event_queue.process(api.ListEvent(kind, entries))
 
-    # The module's side.
+    # Actions of the decision module.
 
     def execute_action(self, action: api.Action) -> None:
-        """Carry out what the module wants."""
+        """Carry out an action of the decision module."""
         if isinstance(action, api.SetTimer):
             ref = action.ref
             self.clock.call_at(action.at_us, lambda: self.event_queue.process(api.TimerDue(ref)))
         elif isinstance(action, api.Log):
             log.info("%s", action.text)
         elif isinstance(action, api.Probe):
-            # A probe is work at the booker: none without leave, nor to one that drains or is gone.
+            # A probe costs the booker work: only if the settings allow it and the booker is ready.
             ready = self.states.get(action.switch) is api.SwitchState.READY
             if ready and self.settings.may_probe:
                 self.back.probe(action.switch)
@@ -243,7 +243,7 @@
             call = self.by_uid.get(action.call)
             if call is None or call.state is not CallState.PENDING:
                 self.counters.add("module.too_late")
-                if isinstance(action, api.Send):  # the module has it as out
+                if isinstance(action, api.Send):  # the module counts it as in flight
                     self._never_sent(action.call, -1, action.switch, finished=True)
             elif isinstance(action, api.Send):
                 self._send(call, action)
@@ -253,7 +253,7 @@
                 self.send_final_answer(call, action)
 
     def _send(self, call: Call, action: api.Send) -> None:
-        """Carry out a send, if the rules allow it."""
+        """Send an attempt if the rules and the limiter allow it."""
         now_us, uid, switch = self.clock.now_us(), call.offer.uid, action.switch
         why = rejection_reason(call, switch, now_us, self.listing, self.settings)
         if not why:
@@ -269,7 +269,7 @@
             self.counters.add(f"sends.barred.{why}")
             if self.plan_provider:
                 self.plan_provider.send_rejected(call.plan, why)
-            if call.current_attempt is None:  # else that one's outcome will come
+            if call.current_attempt is None:  # otherwise the outcome of that attempt follows
                 self._never_sent(uid, number, switch, finished=False)
             return
         left_us = min(action.timeout_us or call.answer_by_us - now_us, call.answer_by_us - now_us)
@@ -283,7 +283,7 @@
         self.back.set_up(attempt)
 
     def _never_sent(self, uid: str, number: int, switch: str, finished: bool) -> None:
-        """Tell the module that an attempt which it has as out did not go, or it would keep it for ever."""
+        """Report an attempt that was not sent, or the module would count it as in flight for ever."""
         self.event_queue.enqueue(api.AttemptEnded(uid, number, switch, api.Outcome.NOT_SENT, 0, finished))
 
     def _unanswered(self, attempt: Attempt) -> None:
@@ -293,7 +293,7 @@
             self.remove_if_finished(call)
 
     def _time_up(self, call: Call) -> None:
-        """Give the answer that the module failed to give in time."""
+        """Fail a call that the decision module did not answer in time."""
         if call.state is CallState.PENDING:
             self.counters.add("calls.time_up")
             self.send_final_answer(call, api.Fail(call.offer.uid), late=True)
--- a/bitternbeam/core/event_queue.py
+++ b/bitternbeam/core/event_queue.py
@@ -1,4 +1,4 @@
-"""The module's turn: one event after the other, and what its actions bring about waits."""
+"""The queue of events for the decision module, which are processed one at a time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EventQueue:
-    """The events that the module has not seen yet."""
+    """Events not yet passed to the decision module."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self.processing = False
 
     def enqueue(self, event: Event) -> None:
-        """Add an event to those that wait, while the module's actions are being carried out."""
+        """Append an event while the module's actions are being carried out."""
         self.events.append(event)
 
     def process(self, event: Event) -> None:
-        """Put an event to the module; what its actions bring about waits its turn."""
+        """Process an event; events raised by its actions are queued behind it."""
         self.events.append(event)
         if self.processing:
             return
@@ -52,7 +52,7 @@
         try:
             actions = self.module.handle(self.clock.now_us(), event)
         except Exception:
-            # A fault in a decision must cost one decision, not the daemon: a crash ends every call.
+            # An error in one decision must not stop the daemon: a crash ends every call.
             self.counters.add("module.faults")
             log.exception("the decision on %s failed", type(event).__name__)
             self.handle_decision_failure(event)
@@ -61,6 +61,6 @@
             try:
                 self.execute_action(action)
             except Exception:
-                # The rest may be another call's answer, or the timer on which the module's own work hangs.
+                # The remaining actions may answer other calls or set the timer that drives the module.
                 self.counters.add("module.actions_failed")
                 log.exception("carrying out %s failed", type(action).__name__)
--- a/bitternbeam/core/limiters.py
+++ b/bitternbeam/core/limiters.py
@@ -1,4 +1,4 @@
-"""Several bounds asked as one, and bounds that bar nothing, for those that bound a part of it."""
+"""Combination of several traffic limiters, and a base class that limits nothing."""
 
 from __future__ import annotations
 
@@ -9,100 +9,100 @@
 
 
 class UnlimitedTraffic:
-    """Bounds that bar nothing: a subsystem overrides what it bounds (see ports.Bounds)."""
+    """A limiter that allows everything; subclasses override what they limit (see ports.TrafficLimiter)."""
 
     def admit(self, offer: Offer, now_us: int) -> int | None:
-        """Pass every offer."""
+        """Admit every offer."""
         return None
 
     def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
-        """Name no booker."""
+        """Return no bookers."""
         return frozenset()
 
     def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
-        """Let every attempt go out."""
+        """Allow every attempt."""
         return ""
 
     def cancel_send(self, booker: str, offer: Offer) -> None:
-        """Take back an attempt that did not go out."""
+        """Ignore an attempt that was not sent."""
 
     def attempt_answered(self, booker: str, now_us: int) -> None:
-        """Note an attempt that stands."""
+        """Ignore an established call."""
 
     def attempt_refused(self, booker: str) -> None:
-        """Note an attempt that was turned away, or an error."""
+        """Ignore a refused or failed attempt."""
 
     def attempt_timed_out(self, booker: str) -> None:
-        """Note an attempt that was not answered in time."""
+        """Ignore an unanswered attempt."""
 
     def attempt_ended(self, booker: str, offer: Offer) -> None:
-        """Note that an attempt holds nothing at its booker any more."""
+        """Ignore the end of an attempt."""
 
     def call_ended(self, offer: Offer) -> None:
-        """Note that nothing of an offer is left."""
+        """Ignore the end of a call."""
 
 
 class LimiterChain:
-    """Bounds asked in turn: the first refusal stands, and those asked before it take theirs back."""
+    """Limiters asked in turn; on the first refusal, those asked before release what they acquired."""
 
     def __init__(self, links: Sequence[TrafficLimiter]) -> None:
         self.links = tuple(links)
 
     def admit(self, offer: Offer, now_us: int) -> int | None:
-        """Take an offer if every link passes it."""
-        for place, one in enumerate(self.links):
-            away_us = one.admit(offer, now_us)
+        """Admit an offer if every limiter admits it; else return the first retry delay."""
+        for index, link in enumerate(self.links):
+            away_us = link.admit(offer, now_us)
             if away_us is not None:
-                for passed in self.links[:place]:
+                for passed in self.links[:index]:
                     passed.call_ended(offer)
                 return away_us
         return None
 
     def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
-        """Return the bookers that are dry for any link."""
-        return frozenset().union(*(one.exhausted_bookers(offer, now_us) for one in self.links))
+        """Return the bookers that any limiter has exhausted."""
+        return frozenset().union(*(link.exhausted_bookers(offer, now_us) for link in self.links))
 
     def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
-        """Return the first reason why an attempt may not go out."""
-        for place, one in enumerate(self.links):
-            why = one.try_send(booker, retry, offer, now_us)
+        """Return the first reason against an attempt; '' if it may be sent."""
+        for index, link in enumerate(self.links):
+            why = link.try_send(booker, retry, offer, now_us)
             if why:
-                for passed in self.links[:place]:
+                for passed in self.links[:index]:
                     passed.cancel_send(booker, offer)
                 return why
         return ""
 
     def cancel_send(self, booker: str, offer: Offer) -> None:
-        """Take back an attempt that did not go out."""
-        for one in self.links:
-            one.cancel_send(booker, offer)
+        """Undo a successful try_send."""
+        for link in self.links:
+            link.cancel_send(booker, offer)
 
     def attempt_answered(self, booker: str, now_us: int) -> None:
-        """Note an attempt that stands."""
-        for one in self.links:
-            one.attempt_answered(booker, now_us)
+        """Record an attempt that established its call."""
+        for link in self.links:
+            link.attempt_answered(booker, now_us)
 
     def attempt_refused(self, booker: str) -> None:
-        """Note an attempt that was turned away, or an error."""
-        for one in self.links:
-            one.attempt_refused(booker)
+        """Record an attempt that was refused or failed with an error."""
+        for link in self.links:
+            link.attempt_refused(booker)
 
     def attempt_timed_out(self, booker: str) -> None:
-        """Note an attempt that was not answered in time."""
-        for one in self.links:
-            one.attempt_timed_out(booker)
+        """Record an attempt that was not answered in time."""
+        for link in self.links:
+            link.attempt_timed_out(booker)
 
     def attempt_ended(self, booker: str, offer: Offer) -> None:
-        """Note that an attempt holds nothing at its booker any more."""
-        for one in self.links:
-            one.attempt_ended(booker, offer)
+        """Release an attempt, which holds nothing at its booker any more."""
+        for link in self.links:
+            link.attempt_ended(booker, offer)
 
     def call_ended(self, offer: Offer) -> None:
-        """Note that nothing of an offer is left."""
-        for one in self.links:
-            one.call_ended(offer)
+        """Release an admitted offer."""
+        for link in self.links:
+            link.call_ended(offer)
 
 
 def combine_limiters(links: Sequence[TrafficLimiter]) -> TrafficLimiter | None:
-    """Return several bounds as one; None for none."""
+    """Return one limiter for all links; None if there are none."""
     return None if not links else links[0] if len(links) == 1 else LimiterChain(links)
--- a/bitternbeam/core/listing.py
+++ b/bitternbeam/core/listing.py
@@ -1,4 +1,4 @@
-"""The list of bookers as it was told last, and where a call may go by it."""
+"""The latest list of bookers, and the bookers to which a call may go."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Listing:
-    """The bookers that are listed."""
+    """The listed bookers with their states and cells."""
 
     def __init__(self) -> None:
-        self.received = False  # once, if only from the configuration
+        self.received = False  # at least once, possibly from the configuration alone
         self.states: dict[str, SwitchState] = {}
         self.cells: dict[str, int] = {}
-        self.start_times_us: dict[str, int] = {}  # the latest start that was told of each
+        self.start_times_us: dict[str, int] = {}  # the latest reported start of each booker
 
     def update(self, kind: ListKind, entries: Iterable[SwitchEntry]) -> None:
-        """Take news; a whole list leaves out those that are gone."""
+        """Apply changes; bookers missing from a complete list are removed."""
         self.received = True
         if kind in (ListKind.COMPLETE, ListKind.CACHED):
             missing = self.states.keys() - {entry.switch for entry in entries}
@@ -33,24 +33,24 @@
             self.start_times_us.pop(name, None)
 
     def started_us(self, booker: str) -> int:
-        """Return the latest start that was told of a server; 0 for long ago."""
+        """Return the latest reported start of a server; 0 if none is known."""
         return self.start_times_us.get(booker, 0)
 
     def is_ready(self, booker: str) -> bool:
-        """Tell whether new calls may be sent to a booker."""
+        """Return whether new calls may be sent to a booker."""
         return self.states.get(booker) is SwitchState.READY
 
     def cell_of(self, booker: str) -> int:
-        """Return a booker's cell, -1 if it is not listed."""
+        """Return a booker's cell, or -1 if it is not listed."""
         return self.cells.get(booker, -1)
 
     def allows(self, plan: Plan, booker: str) -> bool:
-        """Tell whether a call's version lets it go to a booker."""
+        """Return whether a call's plan allows a booker."""
         cell = self.cells.get(booker, -1)
         return plan.allowed is None or any(tier.contains(booker, cell) for tier in plan.allowed)
 
     def has_available(self, plan: Plan, dry: frozenset[str]) -> bool:
-        """Tell whether some booker that a call may go to is not dry."""
+        """Return whether any ready booker that the plan allows is not exhausted."""
         ready = SwitchState.READY
         return any(
             state is ready and name not in dry and self.allows(plan, name)
@@ -58,7 +58,7 @@
         )
 
     def exclude_bookers(self, allowed: tuple[Tier, ...] | None, dry: frozenset[str]) -> tuple[Tier, ...]:
-        """Return what the module may choose from, less the dry bookers."""
+        """Return the allowed tiers without the exhausted bookers."""
         if allowed is None:
             return (Tier({}, frozenset(self.cells.values()), dry),)
         return tuple(
--- a/bitternbeam/core/ports.py
+++ b/bitternbeam/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the world around it."""
+"""Interfaces of the components that the core depends on."""
 
 from __future__ import annotations
 
@@ -11,82 +11,82 @@
 
 
 class Frontend(Protocol):
-    """Where callers are; ref is the front's own handle of the call."""
+    """The client side; ref is the frontend's own handle of the call."""
 
     def send_answer(self, ref: int, body: object) -> None:
-        """Tell the caller that the call stands."""
+        """Tell the client that the call is established."""
         ...
 
     def send_refusal(self, ref: int, stay_away_us: int) -> None:
-        """Turn the caller away; trying again is harmless, after stay_away_us."""
+        """Refuse the call; the client may safely retry after stay_away_us microseconds."""
         ...
 
     def send_failure(self, ref: int, late: bool) -> None:
-        """Tell the caller that the call failed; late: its time is up."""
+        """Tell the client that the call failed; late: its deadline has passed."""
         ...
 
     def send_progress(self, ref: int) -> None:
-        """Tell the caller that a booker is at it; means nothing for the call."""
+        """Tell the client that a booker is working on the call; the state of the call does not change."""
         ...
 
     def send_release(self, ref: int, outcome: Outcome) -> None:
-        """Tell the caller that the call, which stood, is over."""
+        """Tell the client that its established call has ended."""
         ...
 
     def is_client_waiting(self, ref: int) -> bool:
-        """Read what the client has sent up to now, and tell whether it still waits for its answer.
+        """Process what the client has sent so far and return whether it still waits for its answer.
 
-        The core asks before every attempt that does not begin in the turn in which the request was read.
-        Where the client has left, the front withdraws the call before it returns False: nothing is owed.
+        The core asks before every attempt that does not start in the event-loop turn that read the request.
+        If the client has left, the frontend withdraws the call before it returns False.
         """
         ...
 
 
 class Backend(Protocol):
-    """Where bookers are. Its answers go to the core's stood() and ended()."""
+    """The booker side; it reports to the core's attempt_answered() and attempt_ended()."""
 
     def set_up(self, attempt: Attempt) -> None:
-        """Send a set-up."""
+        """Send a set-up request."""
         ...
 
     def probe(self, booker: str) -> None:
-        """Ask a booker for a report; its answer, if any, goes to the core's probed()."""
+        """Ask a booker for a load report; the result goes to the core's probe_ended()."""
         ...
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
         """Stop waiting for a set-up.
 
-        True: it is given up as of now and nothing more is told of it. False: the booker can't be
-        told yet; the back tells ended() once the set-up is surely over.
+        Returns True if the attempt is cancelled at once; nothing more is reported of it. Returns False if
+        the booker cannot be told yet; attempt_ended() follows once the set-up has certainly ended.
         """
         ...
 
     def release(self, attempt: Attempt) -> None:
-        """End a call that stands; nothing more is told of it."""
+        """End an established call; nothing more is reported of it."""
         ...
 
 
 class Clock(Protocol):
-    """Time, and things to come."""
+    """A monotonic clock with timers."""
 
     def now_us(self) -> int:
-        """Return the time; it never runs backwards."""
+        """Return the monotonic time in microseconds."""
         ...
 
     def call_at(self, at_us: int, due: Callable[[], None]) -> Deadline:
-        """Call due at that time."""
+        """Call due at at_us."""
         ...
 
 
 class Directory(Protocol):
-    """Where the list of bookers comes from; it tells the core's listed()."""
+    """The source of the list of bookers; it reports to the core's update_bookers()."""
 
     def start(self) -> None:
-        """Tell the list as it is known now and every change from now on."""
+        """Report the list as it is known now, then every change."""
         ...
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Report no further changes."""
         ...
 
 
@@ -94,86 +94,86 @@
     """The decision module."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event and return what is to be done, in order."""
+        """Process one event and return the actions to carry out, in order."""
         ...
 
 
 class AdmissionFilter(Protocol):
-    """Who may look at a call before the module does, and hears of its end."""
+    """A filter that may refuse a call before the decision module sees it, and is told of its end."""
 
     def check_call(self, call_class: str, cell: int, left_us: int, redial: bool) -> int | None:
-        """Return None to pass the call, or a time to stay away to refuse it."""
+        """Return None to pass the call; to refuse it, the microseconds after which the client may retry."""
         ...
 
     def call_ended(self, call_class: str, outcome: Outcome, attempts: int, took_us: int) -> None:
-        """Note how a call ended."""
+        """Record how a call ended."""
         ...
 
 
 class TrafficLimiter(Protocol):
-    """What may be sent beside what the module decides: shares of bookers, budgets of retries, limits.
+    """Limits on traffic that hold beside the module's decisions: shares of bookers, retry budgets, rates.
 
-    What is taken comes back: an offer that was passed is followed by one `over`, an attempt that may_send let
-    out by one `ended`, or by `unsent` if it did not go out after all.
+    Whatever is acquired is released: an admitted offer is followed by one `call_ended`, an attempt that
+    `try_send` allowed by one `attempt_ended`, or by `cancel_send` if it was not sent after all.
     """
 
     def admit(self, offer: Offer, now_us: int) -> int | None:
-        """Take an offer, by its class, number and caller; or for how long its caller is turned away."""
+        """Admit an offer by its class, number and client (None), or return its retry delay in us."""
         ...
 
     def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
-        """Return the bookers to which nothing of an offer may be sent now."""
+        """Return the bookers to which no attempt of this offer may be sent now."""
         ...
 
     def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
-        """Return why an attempt may not go out, '' if it may; that counts it as sent.
+        """Return why an attempt may not be sent; '' if it may, and then it is counted as sent.
 
-        `over_share`: another booker may be tried; anything else ends the call at once.
+        After `over_share` another booker may be tried; any other reason ends the call at once.
         """
         ...
 
     def cancel_send(self, booker: str, offer: Offer) -> None:
-        """Take back what may_send let out: it was barred elsewhere."""
+        """Undo a successful try_send whose attempt another limiter refused."""
         ...
 
     def attempt_answered(self, booker: str, now_us: int) -> None:
-        """Note an attempt that stands."""
+        """Record an attempt that established its call."""
         ...
 
     def attempt_refused(self, booker: str) -> None:
-        """Note an attempt that was turned away, or an error."""
+        """Record an attempt that was refused or failed with an error."""
         ...
 
     def attempt_timed_out(self, booker: str) -> None:
-        """Note an attempt that was not answered in time."""
+        """Record an attempt that was not answered in time."""
         ...
 
     def attempt_ended(self, booker: str, offer: Offer) -> None:
-        """Note that an attempt holds nothing at its booker any more, as far as can be known."""
+        """Release an attempt, which holds nothing at its booker any more as far as can be known."""
         ...
 
     def call_ended(self, offer: Offer) -> None:
-        """Note that nothing of an offer is left."""
+        """Release an admitted offer, of which no attempt is left."""
         ...
 
 
 class PlanProvider(Protocol):
-    """Where a call's plan comes from; it hears what became of the call."""
+    """The source of a call's plan; it is told how the call ended."""
 
     def pin_plan(self, now_us: int, offer: Offer) -> Plan | int:
-        """Return the plan of the version that runs now, or for how long to turn the caller away."""
+        """Return the running version's plan, or the retry delay in microseconds if the call is refused."""
         ...
 
     def final_answer_sent(
         self, plan: Plan, stood: bool, booker: str = "", cell: int = -1, outcome: Outcome = Outcome.NOT_SENT
     ) -> None:
-        """Note the final answer, and how the last attempt ended, if there was one, and where."""
+        """Record the final answer and, if there was an attempt, where and how the last one ended."""
         ...
 
     def send_rejected(self, plan: Plan, why: str) -> None:
-        """Note a send of the module's that the core did not carry out."""
+        """Record a send of the decision module that the core did not carry out."""
         ...
 
     def call_ended(self, plan: Plan) -> None:
-        """Note that nothing of the call is left."""
+        """Release the plan of a call that has ended with all its attempts."""
         ...
--- a/bitternbeam/core/sending.py
+++ b/bitternbeam/core/sending.py
@@ -1,4 +1,4 @@
-"""The rules on a send, which hold whatever the module says."""
+"""Rules on sending an attempt, which hold whatever the decision module decides."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from bitternbeam.core.table import Call
 from bitternbeam.decision.interface import Outcome, Settings
 
-OVER_SHARE = "over_share"  # the one bar of the Bounds for which another booker may be tried
+OVER_SHARE = "over_share"  # the limiter's only reason after which another booker may be tried
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
 
 def rejection_reason(call: Call, booker: str, now_us: int, listing: Listing, settings: Settings) -> str:
-    """Return why an attempt may not go out, '' if it may."""
+    """Return why an attempt may not be sent; '' if it may."""
     plan = call.plan
     most = settings.max_attempts if plan.max_attempts is None else plan.max_attempts
     return (
@@ -28,10 +28,10 @@
 
 
 def staleness_reason(call: Call | None, attempt: Attempt, now_us: int, listing: Listing) -> str:
-    """Return why an attempt that waited for a connection may not be written any more, '' if it may.
+    """Return why an attempt that waited for a connection may no longer be written; '' if it may.
 
-    What the rules allowed when it was decided on may have changed: its server drains, has gone or has
-    started anew (which the decision did not know: slow start paces by it), or its time is up.
+    Since the decision, its server may have begun to drain, been removed or restarted (slow start limits the
+    rate after a restart, of which the decision did not know), or its deadline may have passed.
     """
     if (
         call is None
@@ -51,14 +51,14 @@
 
 
 def limit_reason(call: Call, booker: str, now_us: int, bounds: TrafficLimiter | None) -> tuple[str, bool]:
-    """Return why the bounds bar an attempt, '' if they do not, and whether that is the call's end.
+    """Return why the limiter refuses an attempt ('' if it does not) and whether that ends the call.
 
-    It is where the budget for repeated attempts is used up: the caller hears so at once.
+    A spent retry budget ends the call: the client is answered at once.
     """
     why = bounds.try_send(booker, call.sent_attempts > 0, call.offer, now_us) if bounds is not None else ""
     return why, bool(why) and why != OVER_SHARE
 
 
 def may_have_run(call: Call) -> bool:
-    """Tell whether the last attempt may have done something at its booker."""
+    """Return whether the last attempt may have had an effect at its booker."""
     return call.outcome not in NEVER_RAN
--- a/bitternbeam/core/table.py
+++ b/bitternbeam/core/table.py
@@ -1,4 +1,4 @@
-"""The table of calls: what is kept of each, its one final answer, and the end of its attempts."""
+"""The call table: the state of each call, its one final answer and the end of its attempts."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call that the core keeps until nothing is owed and nothing is out."""
+    """A call, kept until it is answered and has no attempt in flight."""
 
     offer: Offer
     front: Frontend
     plan: Plan
-    admission_filter: AdmissionFilter | None  # that passed it, and hears of its end
-    answer_by_us: int  # its final answer is given by then
+    admission_filter: AdmissionFilter | None  # the filter that admitted it and is told of its end
+    answer_by_us: int  # time of the latest final answer
     handle: int = 0
     state: CallState = CallState.PENDING
     attempts: int = 0
-    sent_attempts: int = 0  # of its attempts, those that went out
-    current_attempt: Attempt | None = None  # sent and not answered, or standing
-    booker: str = ""  # of its last attempt
-    outcome: api.Outcome = api.Outcome.NOT_SENT  # likewise
-    release_wait_until_us: int = 0  # a release is awaited until then
+    sent_attempts: int = 0  # attempts handed to the backend
+    current_attempt: Attempt | None = None  # in flight, or established
+    booker: str = ""  # of the last attempt
+    outcome: api.Outcome = api.Outcome.NOT_SENT  # of the last attempt
+    release_wait_until_us: int = 0  # no new attempt before then
     deadline: Deadline | None = None
 
 
 class CallTable(ABC):
-    """The calls of one group of bookers, and how they come to their end."""
+    """The calls of one group of bookers and the transitions that end them."""
 
     back: Backend
 
@@ -67,9 +67,7 @@
         self.metrics = RequestCounts(tuple(kind.name for kind in settings.classes))
         self.calls: SlotTable[Call] = SlotTable(limits.calls)
         self.by_uid: dict[str, Call] = {}
-        self.held_ids: dict[
-            str, int
-        ] = {}  # ids of calls that are over, while a release of theirs is in doubt
+        self.held_ids: dict[str, int] = {}  # ended calls whose release is uncertain: id to end of wait
         self.listing = Listing()
         self.admission_filter: AdmissionFilter | None = None
         self.plan_provider: PlanProvider | None = None
@@ -80,25 +78,25 @@
         self.on_idle: Callable[[], None] | None = None
 
     def attach(self, back: Backend) -> None:
-        """Name the back; it needs the core first."""
+        """Set the backend, whose constructor needs the core."""
         self.back = back
 
     @property
     def active(self) -> int:
-        """Return the calls taken that have not ended: waiting for their answer, or standing."""
+        """Return the number of calls that are waiting for their answer or established."""
         return len(self.calls)
 
     @abstractmethod
     def execute_action(self, action: api.Action) -> None:
-        """Carry out what the module wants."""
+        """Carry out an action of the decision module."""
 
     def handle_decision_failure(self, event: api.Event) -> None:
-        """Refuse a call on which the decision failed."""
+        """Refuse a call whose decision raised an exception."""
         if isinstance(event, api.NewCall) and (call := self.by_uid.get(event.call)):
             self.send_final_answer(call, api.Refuse(event.call))
 
     def send_final_answer(self, call: Call, action: api.Refuse | api.Fail, late: bool = False) -> None:
-        """Give the final answer; an attempt that is still out is given up first."""
+        """Send the final answer; an attempt still in flight is cancelled first."""
         if call.state is not CallState.PENDING:
             return
         self.leave_pending(call, CallState.ENDED)
@@ -118,53 +116,53 @@
         self.remove_if_finished(call)
 
     def trace(self, what: str, call: Call) -> None:
-        """Tell what happens to a call, where that is wanted: structured logs show the fields."""
+        """Log a step of a call at debug level; structured logs show the fields."""
         if log.isEnabledFor(logging.DEBUG):
             fields = {"call": call.offer.uid, "booker": call.booker, "version": call.plan.version}
             log.debug("%s", what, extra=fields)
 
     def leave_pending(self, call: Call, state: CallState) -> None:
-        """Leave PENDING, which a call does once."""
+        """Leave the state PENDING, which happens once in a call."""
         call.state = state
         if call.deadline:
             call.deadline.cancel()
 
     def when_idle(self, idle: Callable[[], None]) -> None:
-        """Call idle once no call is left; those that stand are given the time to come to their end."""
+        """Call idle once no call is left; established calls are not cut short."""
         self.on_idle = idle
         self.check_idle()
 
     def hang_up_all(self, leave_standing: bool = False) -> None:
-        """Answer what is owed and release what stands, towards both sides, unless that goes on without us."""
+        """Refuse pending calls and release established ones on both sides, unless leave_standing."""
         for call in self.calls.values():
             if call.state is CallState.PENDING:
                 self.send_final_answer(call, api.Refuse(call.offer.uid))
                 self.event_queue.process(
                     api.Withdrawn(call.offer.uid)
-                )  # it may wait in the module for a release
+                )  # the module may hold it until a release
             elif call.state is CallState.ESTABLISHED and not leave_standing:
                 call.front.send_release(call.offer.ref, api.Outcome.CUT)
                 self.hang_up(call)
 
     def check_idle(self) -> None:
-        """Tell that no call is left, once, to whoever waits for that."""
+        """Call the idle callback once if no call is left."""
         if self.on_idle and not self.calls:
             idle, self.on_idle = self.on_idle, None
             idle()
 
     def cancel_attempt(self, call: Call, outcome: api.Outcome) -> None:
-        """Give up the attempt that is out, if there is one."""
+        """Cancel the attempt in flight, if there is one."""
         attempt = call.current_attempt
         if attempt is None or attempt.cancel_outcome:
             return
-        if attempt.unsent:  # no release of it can be in doubt
+        if attempt.unsent:  # it cannot have reached the booker
             outcome = api.Outcome.NO_CONNECTION if outcome is api.Outcome.NO_ANSWER else api.Outcome.NOT_SENT
         attempt.cancel_outcome = outcome
         if self.back.cancel_attempt(attempt):
             self.close_attempt(call, attempt, AttemptEnd(outcome))
 
     def hang_up(self, call: Call) -> None:
-        """Release a call that stands."""
+        """Release an established call."""
         if (attempt := call.current_attempt) is not None:
             call.state = CallState.ENDED
             self.back.release(attempt)
@@ -172,7 +170,7 @@
             self.remove_if_finished(call)
 
     def close_attempt(self, call: Call, attempt: Attempt, end: AttemptEnd) -> None:
-        """Note the end of an attempt and tell the module."""
+        """Record the end of an attempt and report it to the decision module."""
         now_us = self.clock.now_us()
         call.current_attempt, call.outcome = None, end.outcome
         if attempt.deadline:
@@ -203,14 +201,14 @@
         )
 
     def _once_released(self, call: Call, now_us: int, tell: Callable[[], None]) -> None:
-        """Tell at once, or when a release that is in doubt has had its time: the booker may hold it yet."""
+        """Call tell at once, or after an uncertain release, until which the booker may hold the attempt."""
         if now_us < call.release_wait_until_us:
             self.clock.call_at(call.release_wait_until_us, tell)
         else:
             tell()
 
     def remove_if_finished(self, call: Call) -> None:
-        """Keep a call no more, once nothing is owed and nothing is out."""
+        """Remove a call once it is answered and has no attempt in flight."""
         if call.state is CallState.ENDED and call.current_attempt is None and self.calls.pop(call.handle):
             self.by_uid.pop(call.offer.uid, None)
             self._hold(call.offer.uid, call.release_wait_until_us)
@@ -226,7 +224,7 @@
                 call.admission_filter.call_ended(call.offer.call_class, call.outcome, call.attempts, took_us)
 
     def _hold(self, uid: str, until_us: int) -> None:
-        """Remember an id until the release that is in doubt has had its time."""
+        """Remember an id until an uncertain release must have been carried out."""
         if self.clock.now_us() < until_us:
             self.held_ids[uid] = until_us
             self.clock.call_at(until_us, lambda: self._let_go(uid))
