--- a/bitternbeam/metrics/__init__.py
+++ b/bitternbeam/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""The figures that operators read: counts kept where each event happens, printed by the admin wire."""
+"""Metrics for operators: counted where each event happens, served on the admin address."""
--- a/bitternbeam/metrics/counts.py
+++ b/bitternbeam/metrics/counts.py
@@ -1,10 +1,10 @@
 """Counts of requests by class and outcome, from the start of the process.
 
-Operators' page (Day-to-day service, Numbers): for each class, `ok` the requests served, `shed` those
-refused, `errors` those failed; `tries` the attempts written whole to bookers (one number over all
-classes); `active` the requests taken and not yet ended, calls that stand included; `pool_size` the
-listed bookers; `pool_ejected` those listed that are avoided.
-The counts are bumped by the core at the moment of each event, so a read is never older than the read.
+As documented for operators (Day-to-day service, Numbers), `ok`, `shed` and `errors` count the requests
+of a class that were served, refused and failed; `tries` counts attempts written completely to bookers
+(one number over all classes); `active` the accepted requests that have not ended, established calls
+included; `pool_size` the listed bookers; `pool_ejected` the listed bookers that are avoided.
+The core increments each count at the moment of its event, so a read is always current.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """The counts of one core; classes outside the settings are not counted, so no caller adds a key."""
+    """The counts of one core. Classes outside the settings are not counted, so clients cannot add keys."""
 
     classes: tuple[str, ...]
     ok: dict[str, int] = field(init=False)
@@ -30,14 +30,14 @@
             setattr(self, kind, dict.fromkeys(self.classes, 0))
 
     def increment(self, kind: str, call_class: str) -> None:
-        """Add one to kind ('ok', 'shed', 'errors' or 'tries') of a class; an unknown class is passed over."""
+        """Add one to kind ('ok', 'shed', 'errors' or 'tries') of a class; unknown classes are ignored."""
         counts: dict[str, int] = getattr(self, kind)
         if call_class in counts:
             counts[call_class] += 1
 
 
 def sum_counts(parts: Iterable[RequestCounts]) -> dict[str, dict[str, int]]:
-    """Return the counts of several cores added up: {kind: {class: count}}."""
+    """Return the sums of several cores: {kind: {class: count}}."""
     total: dict[str, dict[str, int]] = {kind: {} for kind in KINDS}
     for figures in parts:
         for kind in KINDS:
@@ -50,9 +50,9 @@
 def snapshot(
     counts: Mapping[str, Mapping[str, int]], active: int, pool_size: int, pool_ejected: int
 ) -> dict[str, object]:
-    """Return the object that `vars` prints, with its keys in the operators' order.
+    """Return the object that `vars` prints, with its keys in the documented order.
 
-    `tries` is one number over all classes, as the operators' scraper reads it; `tries_by_class` splits it.
+    `tries` is one number over all classes, as operators' scrapers expect; `tries_by_class` splits it.
     """
     shown: dict[str, object] = {kind: dict(counts.get(kind, {})) for kind in KINDS}
     by_class = dict(counts.get("tries", {}))
--- a/bitternbeam/metrics/pool.py
+++ b/bitternbeam/metrics/pool.py
@@ -1,4 +1,4 @@
-"""Which listed bookers the decision module avoids at present, read from its state without changing it."""
+"""The listed bookers that the decision module avoids, read from its state without changing it."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def count_ejected(switches: Mapping[str, Switch], listed: Mapping[str, SwitchState]) -> int:
-    """Count the listed bookers that get no ordinary traffic: draining, suspect, or failing what others take.
+    """Count the listed bookers without ordinary traffic: draining, suspect, or failing.
 
     A suspect booker gets single trial set-ups and a failing one is the last resort (decision/routing.py);
-    both are what operators call ejected. A listed booker the module has not heard of yet is not counted.
+    operators call both ejected. A listed booker that the module does not know yet is not counted.
     """
     count = 0
     for name, state in listed.items():
