--- a/bitternbeam/__init__.py
+++ b/bitternbeam/__init__.py
@@ -1,3 +1,3 @@
-"""bitternbeam: a session controller that sets calls up at shared bookers under load."""
+"""bitternbeam: a session controller that sets up calls at shared bookers, also under load."""
 
 __version__ = "0.1.0"
--- a/bitternbeam/__main__.py
+++ b/bitternbeam/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bitternbeam`: the platform's `run` without a word more; with one, the command line."""
+"""`python -m bitternbeam`: without arguments the platform's `run`, otherwise the command line."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
         from bitternbeam.commands.main import main as commands  # noqa: PLC0415 - click is not for `run`
 
         return commands()
-    # Danger: a signal that comes while the program loads ends it, as there is no handler yet. Kept back
-    # here, it is delivered once there is one: a SIGHUP then still has the configuration read anew.
+    # Without a handler a signal that arrives during loading would end the process. Blocked here, it is
+    # delivered once the handlers are installed; a SIGHUP then still reloads the configuration.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGUSR1))
-    # Hardly anything that an import makes is garbage, but the collector would look through all of it again
-    # and again, and once more at each full collection while the process serves.
+    # Imports create hardly any garbage, but the collector would scan their objects repeatedly during
+    # loading and again at each full collection while the process serves.
     gc.disable()
     from bitternbeam.wiring.run import main as run  # noqa: PLC0415 - its reactor is not for the commands
 
--- a/bitternbeam/config.py
+++ b/bitternbeam/config.py
@@ -1,4 +1,4 @@
-"""What the daemon is told at its start, from the environment and the configuration file."""
+"""The daemon's start-up configuration, from the environment and the configuration file."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from bitternbeam.limits import Limits
 from bitternbeam.settings import InputError, read_settings
 
-MAX_OPEN_REQUESTS = 20_000  # requests at once, whatever the settings allow: bounds the memory
+MAX_OPEN_REQUESTS = 20_000  # whatever the settings allow; bounds the memory
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the text names the key."""
+    """An invalid configuration; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,12 +35,12 @@
     known_bookers: dict[str, Any]
     settings: Settings
     limits: Limits
-    admin: tuple[str, int] | None = None  # the operators' address: `admin`, or GW_ADMIN before it
-    inherited_fd: int | None = None  # GW_INHERITED_FD: the callers' listening socket, held by the platform
+    admin: tuple[str, int] | None = None  # the operators' address: GW_ADMIN, else `admin`
+    inherited_fd: int | None = None  # GW_INHERITED_FD: clients' listening socket, kept open by the platform
 
 
 def read_address(key: str, text: object) -> tuple[str, int]:
-    """Split host:port."""
+    """Split host:port; raises ConfigError, which names the key."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
         raise ConfigError(f"{key}: {text!r} is not host:port")
@@ -48,13 +48,13 @@
 
 
 def descriptor_limit() -> int:
-    """Return how many descriptors the system lets this process hold."""
+    """Return the system's limit on this process's file descriptors."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
 
 
 def read_config(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read GW_CONFIG; GW_NAME and GW_LISTEN come before what it says. Raises ConfigError."""
+    """Read the file named by GW_CONFIG; GW_NAME and GW_LISTEN override it. Raises ConfigError."""
     top = _read_file(environment.get("GW_CONFIG"))
     try:
         return _config(top, environment)
@@ -115,7 +115,7 @@
 
 
 def _read_limits(top: Fields) -> Limits:
-    """Return the sizes that follow from the descriptors and from the requests that may be open."""
+    """Return the limits derived from the available descriptors and the maximum of open requests."""
     sockets = top.nested("limits", {}).integer("sockets", 1024, above=0)
     max_open = top.nested("settings").nested("limits").integer("max_open", MAX_OPEN_REQUESTS, above=0)
     try:
--- a/bitternbeam/counters.py
+++ b/bitternbeam/counters.py
@@ -1,23 +1,23 @@
-"""Counters of what the daemon takes in, sends and answers, by name."""
+"""Named counters of the messages and events that the daemon handles."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import TextIO
 
-# What operators' scripts may still read: new prefixes, and the ones that they replaced.
+# Current prefixes and the former ones, which operators' scripts may still read.
 EARLIER_PREFIXES = {"client.": "caller.", "discovery.": "board."}
 
 
 class Counters(Counter[str]):
-    """Named counts; a name that was never counted stands at 0."""
+    """Named counts; a name that was never counted reads as 0."""
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count."""
+        """Add to a counter."""
         self[name] += by
 
     def write(self, sink: TextIO) -> None:
-        """Print one line a counter, in the order of their names; renamed ones under both names."""
+        """Print one line per counter, sorted by name; renamed counters appear under both names."""
         printed = dict(self)
         for name, count in self.items():
             for prefix, earlier in EARLIER_PREFIXES.items():
--- a/bitternbeam/fields.py
+++ b/bitternbeam/fields.py
@@ -1,4 +1,4 @@
-"""Typed reads of JSON values: every fault is one line that names the key by its whole path."""
+"""Typed access to JSON values; every error is one line that names the full path of the key."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import math
 from typing import Any, NoReturn
 
-MAX_ABSOLUTE = 1e15  # of any number: as microseconds, thirty years
+MAX_ABSOLUTE = 1e15  # for any number; thirty years in microseconds
 
 
 class FieldError(ValueError):
-    """A value that is missing, of the wrong type or out of range; the text names its key."""
+    """A value that is missing, of the wrong type or out of range; the message names its key."""
 
 
 def _reject_constant(text: str) -> NoReturn:
@@ -18,7 +18,7 @@
 
 
 def parse(text: str) -> Any:
-    """Parse JSON; NaN and the infinities, which JSON has not, are refused. Raises ValueError."""
+    """Parse JSON; NaN and infinities, which JSON does not define, are refused. Raises ValueError."""
     try:
         return json.loads(text, parse_constant=_reject_constant)
     except RecursionError:
@@ -26,7 +26,7 @@
 
 
 class Fields:
-    """One JSON object, and where it stands."""
+    """A JSON object and its path in the document."""
 
     def __init__(self, raw: object, path: str = "") -> None:
         if not isinstance(raw, dict):
@@ -35,7 +35,7 @@
         self.path = path
 
     def full_key(self, name: str) -> str:
-        """Return the whole path of a key."""
+        """Return the full path of a key."""
         return f"{self.path}.{name}" if self.path else name
 
     def _get(self, name: str, default: object) -> Any:
@@ -51,11 +51,11 @@
         raise FieldError(f"'{self.full_key(name)}' has the wrong form: {shown} is not {wanted}")
 
     def contains(self, name: str) -> bool:
-        """Tell whether a key is there."""
+        """Return whether a key is present."""
         return name in self.raw
 
     def nested(self, name: str, default: dict[str, Any] | None = None) -> Fields:
-        """Return an object."""
+        """Return a nested object."""
         return Fields(self._get(name, default), self.full_key(name))
 
     def array(self, name: str, default: list[Any] | None = None) -> list[Any]:
@@ -78,7 +78,7 @@
         return value
 
     def boolean(self, name: str, default: bool | None = None) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         value = self._get(name, default)
         if not isinstance(value, bool):
             self._raise_wrong_form(name, value, "true or false")
@@ -93,7 +93,7 @@
         above: float | None = None,
         maximum: float = MAX_ABSOLUTE,
     ) -> float:
-        """Return a number from least (or just above `above`) to most."""
+        """Return a number from minimum (or greater than `above`) to maximum; raises FieldError."""
         value = self._get(name, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             self._raise_wrong_form(name, value, "a number")
@@ -116,7 +116,7 @@
         above: float | None = None,
         maximum: float = MAX_ABSOLUTE,
     ) -> int:
-        """Return a whole number in the same way."""
+        """Return an integer within the same kind of bounds; raises FieldError."""
         value = self.number(name, default, minimum=minimum, above=above, maximum=maximum)
         if value != int(value):
             self._raise_wrong_form(name, value, "a whole number")
--- a/bitternbeam/lmdb_files.py
+++ b/bitternbeam/lmdb_files.py
@@ -1,4 +1,4 @@
-"""What every file that LMDB maps is looked at for before it is read."""
+"""A check of LMDB files for truncation before they are read."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def describe_truncation(env: Any, file: Path) -> str:
-    """Return how much of an environment's file is missing, as `4096 bytes of 8192`; empty: nothing is.
+    """Return the size of a truncated file as `4096 bytes of 8192`, or '' if the file is complete.
 
-    Danger: LMDB reads its file as memory; a page that is not there ends the process with SIGBUS.
+    LMDB maps its file into memory: reading a page that is missing kills the process with SIGBUS.
     """
     wanted = (env.info()["last_pgno"] + 1) * env.stat()["psize"]
     size = file.stat().st_size
--- a/bitternbeam/logs.py
+++ b/bitternbeam/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: lines for people or JSON objects, with call, booker and version where they apply.
+"""Structured logs, as text lines or JSON objects, with fields such as call, booker and version.
 
-The parts log through the standard library, as the platform's `run` does; what they hand over as `extra`
-becomes the fields of a record here.
+All modules log through the standard library, as the platform's `run` does; the values they pass as
+`extra` become fields of the log record here.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def configure_logging(form: str, level: str, sink: TextIO | None = None) -> None:
-    """Send all logs to a stream (standard error) as `plain` or `json`."""
+    """Send all logs to a stream (standard error by default) as `plain` or `json`."""
     before: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
--- a/bitternbeam/memory.py
+++ b/bitternbeam/memory.py
@@ -1,8 +1,8 @@
-"""The cyclic collector, told what is worth its while.
+"""Settings of Python's cyclic garbage collector.
 
-Calls, connections and snapshots are freed by their reference counts; what little lies in cycles is young. But
-a full collection walks through every entry of a large version, and stops the reactor for a tenth of a second
-and more. So full ones are put off, and what has come to stay is set aside from them.
+Calls, connections and snapshots are freed by reference counting, and the few objects in cycles are young.
+A full collection visits every entry of a large version and blocks the reactor for 0.1 s or more.
+Full collections are therefore postponed, and long-lived objects are frozen so that none visits them.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-YOUNG, MIDDLE, OLD = 700, 10, 1_000_000  # allocations, then collections of the generation before
+YOUNG, MIDDLE, OLD = 700, 10, 1_000_000  # allocations, then collections of the younger generation
 
 
 def freeze_heap() -> None:
-    """Set what is there aside: it has come to stay, or its reference count will free it."""
+    """Exclude all present objects from collection: they are long-lived or freed by reference counting."""
     gc.set_threshold(YOUNG, MIDDLE, OLD)
     gc.freeze()
 
 
 @contextmanager
 def collection_paused() -> Iterator[None]:
-    """Collect nothing while something large is built at the start, and set it aside."""
+    """Disable collection while something large is built at start, then freeze it."""
     gc.disable()
     try:
         yield
@@ -32,7 +32,7 @@
 
 
 def pause_collection(busy: bool) -> None:
-    """Collect nothing while a version is worked on: it makes very many objects, and all of them stay."""
+    """Disable collection while a version is processed, which creates very many long-lived objects."""
     if busy:
         gc.disable()
     else:
--- a/bitternbeam/settings.py
+++ b/bitternbeam/settings.py
@@ -1,4 +1,4 @@
-"""The operators' settings, read in one place for the daemon and the simulator's adapter."""
+"""Reads the operators' settings for the daemon and for the simulator's adapter."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class InputError(Exception):
-    """Input that cannot be read."""
+    """Input that cannot be parsed or has invalid values."""
 
 
 def read_settings(text: str | dict[str, Any]) -> api.Settings:
-    """Turn the wire's settings into the project's; what is not used is ignored. Raises WireError."""
+    """Convert settings in their JSON form; unused keys are ignored. Raises InputError."""
     try:
         raw = parse(text) if isinstance(text, str) else text
     except ValueError as error:
@@ -89,7 +89,7 @@
 
 
 def _cells(domain: Fields, classes: int) -> list[tuple[int, ...] | None]:
-    """Return the cells that each class may go to."""
+    """Return the cells allowed for each class."""
     rows = domain.array("class_cells")
     if len(rows) < classes:
         raise FieldError(f"'{domain.full_key('class_cells')}' must hold one array for each class")
--- a/tests/code_size.py
+++ b/tests/code_size.py
@@ -1,4 +1,4 @@
-"""Measures of Python source: lines of a module, lines and nesting of a function."""
+"""Size measures of Python source: lines of modules, lines and nesting of functions."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """What is over a bound; `place` is `path`, `path::Class.function` or the latter with `(nested)`."""
+    """A measure over its bound; `place` is `path`, `path::Class.function` or the latter with `(nested)`."""
 
     place: str
     size: int
 
 
 def nesting(node: ast.AST, depth: int = 0) -> int:
-    """Return the deepest nesting of blocks below a node; functions defined within count by themselves.
+    """Return the deepest nesting of blocks below a node; nested functions count separately.
 
-    An `elif` stands as deep as its `if`.
+    An `elif` counts at the depth of its `if`.
     """
     deepest = depth
     for child in ast.iter_child_nodes(node):
@@ -39,7 +39,7 @@
 
 
 def functions(node: ast.AST, prefix: str = "") -> Iterator[tuple[str, Function]]:
-    """Return every function below a node with its dotted name, methods and nested functions included."""
+    """Yield every function below a node with its dotted name, methods and nested functions included."""
     for child in ast.iter_child_nodes(node):
         name = prefix
         if isinstance(child, (*FUNCTIONS, ast.ClassDef)):
@@ -50,12 +50,12 @@
 
 
 def line_count(function: Function) -> int:
-    """Return the lines of a function, its signature and docstring included, its decorators not."""
+    """Return the lines of a function with its signature and docstring, without decorators."""
     return (function.end_lineno or function.lineno) - function.lineno + 1
 
 
 def excesses(path: str, source: str) -> Iterator[Excess]:
-    """Return what in a module is over a bound."""
+    """Yield the measures of a module that are over their bound."""
     lines = len(source.splitlines())
     if lines > MODULE_LINES:
         yield Excess(path, lines)
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -1,4 +1,4 @@
-"""The core alone: a clock that is set by hand, a front and a back that keep the rules in view."""
+"""A call core with a manual clock, and a frontend and backend that check its rules."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
     """A client's request as the test follows it."""
 
     uid: str
-    end_us: int  # its client's time is up
+    end_us: int  # the client's deadline
     handle: int = 0
     gone: bool = False  # the client has left
     answers: list[str] = field(default_factory=list)
-    over: bool = False  # a call that stood was released
+    over: bool = False  # the established call was released
 
 
 class Broken(list[str]):
-    """Rules that were broken: an error raised where the core calls would only be logged there."""
+    """Broken rules, collected because the core would catch and log an exception raised here."""
 
     def unless(self, holds: object, what: str) -> None:
-        """Note a broken rule."""
+        """Record a broken rule unless the condition holds."""
         if not holds:
             self.append(what)
 
 
 class Clients:
-    """The core's Front: checks each answer against what is owed."""
+    """A frontend that checks each answer."""
 
     def __init__(self, hand: HandClock, broken: Broken) -> None:
-        """Know no request."""
+        """Start without requests."""
         self.hand = hand
         self.broken = broken
         self.asked: list[Asked] = []
@@ -54,49 +54,49 @@
         self.broken.unless(self.hand.time_us <= one.end_us, f"{one.uid}: late")
 
     def send_answer(self, ref: int, body: object) -> None:
-        """Take an answer."""
+        """Record an answer."""
         self._answer(ref, "stands")
 
     def send_refusal(self, ref: int, stay_away_us: int) -> None:
-        """Take a refusal."""
+        """Record a refusal."""
         self._answer(ref, "refused")
 
     def send_failure(self, ref: int, late: bool) -> None:
-        """Take a failure."""
+        """Record a failure."""
         self._answer(ref, "failed")
 
     def send_progress(self, ref: int) -> None:
-        """Pass over it."""
+        """Ignore progress."""
 
     def send_release(self, ref: int, outcome: api.Outcome) -> None:
-        """Take a release, which ends a call that stood, once."""
+        """Record a release, which ends an established call once."""
         one = self.asked[ref]
         self.broken.unless(one.answers == ["stands"] and not one.over, f"{one.uid}: released")
         one.over = True
 
     def is_client_waiting(self, ref: int) -> bool:
-        """Tell whether the client is there."""
+        """Return whether the client is still connected."""
         return not self.asked[ref].gone
 
 
 class Servers:
-    """The core's Back: attempts wait for a connection until the test writes them, and checks each write."""
+    """A backend whose attempts wait for a connection until the test writes them; it checks each write."""
 
     def __init__(self, hand: HandClock, broken: Broken) -> None:
-        """Reach every server, with connections at hand."""
+        """Start with every server connected."""
         self.hand = hand
         self.broken = broken
         self.waiting: list[Attempt] = []
         self.written: list[Attempt] = []
         self.standing: list[Attempt] = []
         self.unreachable: set[str] = set()
-        self.slow: set[str] = set()  # to which a connection has to be made first
-        self.held: dict[str, int] = {}  # by id: no attempt until then
+        self.slow: set[str] = set()  # servers to which a connection has to be opened first
+        self.held: dict[str, int] = {}  # by id: time before which no attempt may be written
         self.core: CallControl
         self.clients: Clients
 
     def set_up(self, attempt: Attempt) -> None:
-        """Write at once, wait for a connection, or find the server unreachable."""
+        """Write at once, wait for a connection, or report the server unreachable."""
         if attempt.booker in self.unreachable:
             self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NO_CONNECTION))
             return
@@ -106,7 +106,7 @@
             self.write(attempt)
 
     def write(self, attempt: Attempt) -> None:
-        """Let the connection come up that an attempt waits for."""
+        """Write an attempt as if its connection had opened."""
         self.waiting.remove(attempt)
         if not self.core.may_write(attempt):
             self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NOT_SENT))
@@ -122,7 +122,7 @@
         self.written.append(attempt)
 
     def end(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """End an attempt that is out, or a call that stands."""
+        """End an attempt in flight or an established call."""
         self._over(attempt, outcome)
         self.core.attempt_ended(attempt, AttemptEnd(outcome))
 
@@ -143,7 +143,7 @@
         """Answer no probe."""
 
     def cancel_attempt(self, attempt: Attempt) -> bool:
-        """Take an attempt back at once."""
+        """Cancel an attempt at once."""
         self._over(attempt, attempt.cancel_outcome or api.Outcome.CALLED_OFF)
         return True
 
@@ -170,7 +170,7 @@
             self.tell(name, READY)
 
     def tell(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
-        """Bring news of a server."""
+        """Report the state of a server."""
         entry = api.SwitchEntry(name, self.names.index(name), state, started_us)
         self.core.update_bookers(api.ListKind.CHANGES, (entry,))
 
@@ -184,11 +184,11 @@
         return one
 
     def owed(self) -> list[Asked]:
-        """Return the requests whose client waits for its answer."""
+        """Return the requests that have no answer yet and whose client still waits."""
         return [one for one in self.clients.asked if not one.answers and not one.gone]
 
     def check(self) -> None:
-        """Find no broken rule, and no request whose time is up without its answer."""
+        """Assert that no rule was broken and no request has passed its deadline unanswered."""
         assert not self.broken and not self.counters["module.actions_failed"], self.broken
         margin_us = 1 * MS
         late = [one.uid for one in self.owed() if one.end_us + margin_us < self.hand.time_us]
--- a/tests/hand_clock.py
+++ b/tests/hand_clock.py
@@ -1,4 +1,4 @@
-"""A clock that stands until a test moves it."""
+"""A clock that moves only when a test advances it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HandClock:
-    """The waker under Deadlines; times are microseconds."""
+    """A manual time source for Deadlines, in microseconds."""
 
     def __init__(self, now_us: int = 1_000_000_000) -> None:
         self.time_us = now_us
@@ -29,13 +29,13 @@
         self.due_us, self.wake = at_us, wake
 
     def run_due(self) -> None:
-        """Run what is due now, once."""
+        """Run the callback once if it is due."""
         if self.due_us is not None and self.due_us <= self.time_us:
             self.due_us = None
             self.wake()
 
     def advance(self, by_us: int) -> None:
-        """Move on, stopping at each deadline on the way."""
+        """Advance the time, stopping at each deadline in between."""
         end_us = self.time_us + by_us
         while self.due_us is not None and self.due_us <= end_us:
             self.time_us, self.due_us = max(self.time_us, self.due_us), None
--- a/tests/inert_back.py
+++ b/tests/inert_back.py
@@ -1,4 +1,4 @@
-"""A core's Back that is asked for nothing but set-ups."""
+"""A base for backends of which only set-ups are expected."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class InertBack:
-    """Takes back every set-up, ends every call, and is never asked for a report."""
+    """Cancels and releases at once, and must never be asked for a probe."""
 
     def probe(self, booker: str) -> None:
         raise AssertionError(booker)
--- a/tests/patience.py
+++ b/tests/patience.py
@@ -1,4 +1,4 @@
-"""Limits for tests that ask late on a busy machine: a client that is still silent is not closed meanwhile."""
+"""Limits for tests on a busy machine: a client that is slow to send its request is not disconnected."""
 
 from __future__ import annotations
 
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""A configuration that cannot be used: one line that names the key, at the start and on a reload."""
+"""An invalid configuration gives one line that names the key, at start and on a reload."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def changed(where: str, value: object) -> dict[str, Any]:
-    """Return the example with one value, named by its path, replaced or taken out."""
+    """Return the example with the value at a path replaced or removed."""
     raw: dict[str, Any] = copy.deepcopy(EXAMPLE)
     steps = [int(step) if step.isdecimal() else step for step in where.split(".")]
     holder: Any = raw
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(("where", "value", "said"), BAD)
-def test_each_fault_is_one_line_that_names_its_key(
+def test_each_error_is_one_line_that_names_its_key(
     where: str, value: object, said: str, tmp_path: Path
 ) -> None:
     with pytest.raises(ConfigError) as caught:
@@ -132,13 +132,13 @@
         ),
     ],
 )
-def test_what_is_no_json_is_one_line(text: str, said: str, tmp_path: Path) -> None:
+def test_invalid_json_is_reported_in_one_line(text: str, said: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as caught:
         read(text, tmp_path)
     assert said in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_bytes_that_are_no_text_are_one_line(tmp_path: Path) -> None:
+def test_undecodable_bytes_are_reported_in_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(b"\xff\xfe{}")
     with pytest.raises(ConfigError, match="not JSON"):
@@ -146,7 +146,7 @@
 
 
 def leaves(value: object, path: str = "") -> Iterator[str]:
-    """Name every value of the example, the objects and arrays too."""
+    """Yield the path of every value, objects and arrays included."""
     pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for name, inner in pairs:
         where = f"{path}.{name}" if path else str(name)
@@ -154,7 +154,7 @@
         yield from leaves(inner, where)
 
 
-def test_no_value_anywhere_raises_anything_else(tmp_path: Path) -> None:
+def test_no_value_raises_anything_but_a_config_error(tmp_path: Path) -> None:
     odd: list[object] = [MISSING, None, True, "x", "", "5", -1, 0, 10**400, 0.5, [], [None], {}, {"a": 1}]
     refused = 0
     for where in leaves(EXAMPLE):
@@ -182,7 +182,9 @@
         ("known.rev", None),
     ],
 )
-def test_a_start_ends_with_one_line_and_a_status(where: str, value: object, tmp_path: Path) -> None:
+def test_a_failed_start_prints_one_line_and_exits_with_a_status(
+    where: str, value: object, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(where, value)))
     with pytest.raises(ConfigError) as caught:
@@ -198,7 +200,7 @@
     assert done.returncode == 2 and done.stderr.decode() == f"bitternbeam: {caught.value}\n"
 
 
-def test_a_reload_with_a_bad_figure_keeps_the_old_configuration(boards: list[Board], tmp_path: Path) -> None:
+def test_a_reload_with_a_bad_value_keeps_the_old_configuration(boards: list[Board], tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     raw = configuration(event(3, "up", full=True))
     path.write_text(json.dumps(raw | {"board": boards[0].address}))
@@ -219,7 +221,7 @@
         path.write_text(json.dumps(raw | {"board": boards[1].address}))
         daemon.send_signal(signal.SIGHUP)
         until(lambda: boards[1].peers)
-        assert len(boards[0].peers) == len(boards[1].peers) == 1  # the bad one moved nothing
+        assert len(boards[0].peers) == len(boards[1].peers) == 1  # the invalid one changed nothing
         daemon.send_signal(signal.SIGTERM)
         _, said = daemon.communicate(timeout=30)
     finally:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Several bounds asked as one by the core: what one takes comes back once, whatever becomes of the call."""
+"""Several limiters in a chain: whatever one acquires is released exactly once, however the call ends."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Held(UnlimitedTraffic):
-    """Amounts at once: of offers, and of attempts at each booker."""
+    """A limiter of concurrent offers and of concurrent attempts at each booker."""
 
     def __init__(self, offers: int = 9, attempts: int = 9, away_us: int = 0) -> None:
         self.offers, self.attempts, self.away_us = offers, attempts, away_us
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("outcome", [one for one in api.Outcome if one is not api.Outcome.NOT_SENT])
 @pytest.mark.parametrize("stands", [False, True])
-def test_what_a_call_holds_comes_back_once(outcome: api.Outcome, stands: bool) -> None:
+def test_what_a_call_acquired_is_released_once(outcome: api.Outcome, stands: bool) -> None:
     wires, first, second = Wires(Script("a"), "a"), Held(), Held()
     chain_of(wires, first, second)
     wires.offer(1)
@@ -60,13 +60,13 @@
     ended = wires.now()
     wires.core.attempt_ended(wires.sent[-1], AttemptEnd(outcome))
     doubtful = outcome in (api.Outcome.NO_ANSWER, api.Outcome.CUT, api.Outcome.CALLED_OFF)
-    assert bool(first.held["a"]) is doubtful  # the booker may hold it until a release has had its time
+    assert bool(first.held["a"]) is doubtful  # the booker may hold it until the release is surely done
     until(lambda: not first.held["a"] and not first.held[""])
     assert doubtful is (wires.now() - ended >= wires.core.settings.release_wait_us)
     assert first.held == second.held == {"": 0, "a": 0}
 
 
-def test_the_first_refusal_stands_with_its_wait_and_nothing_stays_taken() -> None:
+def test_the_first_refusal_and_its_delay_count_and_nothing_stays_acquired() -> None:
     wires, first, second = Wires(Script("a"), "a"), Held(), Held(offers=1, away_us=70_000)
     told: list[int] = []
     wires.core.settings = replace(wires.core.settings, max_stay_away_us=100_000)
@@ -78,7 +78,7 @@
     assert first.held == second.held == {"": 1, "a": 1}
 
 
-def test_a_send_barred_by_a_later_link_is_taken_back_and_another_booker_tried() -> None:
+def test_a_send_refused_by_a_later_limiter_is_undone_and_another_booker_tried() -> None:
     wires, first, second = Wires(Script("a", "b"), "a", "b"), Held(), Held(attempts=0)
     chain_of(wires, first, second)
     wires.offer(1)
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -1,4 +1,4 @@
-"""Modules, functions and nesting stay within bounds; what does not is listed here and may only shrink."""
+"""Sizes of modules and functions and nesting stay within bounds; the exceptions here may only shrink."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 PACKAGES = ("benchmarks", "bitternbeam", "standins", "tests")
 
 
-# Places over a bound with their sizes, grouped by the reason why they may be. Take rows out as they are
-# mended, lower their sizes as they shrink; none may be added or raised.
+# Places over a bound with their sizes, grouped by the reason. Remove rows when fixed and lower sizes as
+# they shrink; none may be added or raised.
 
 # Modules written before the bound, to be split by concern.
 TO_SPLIT: dict[str, int] = {"bitternbeam/decision/interface.py": 304}
@@ -61,7 +61,7 @@
 
 
 def measured() -> dict[str, Excess]:
-    """Return every excess in the tree by its place; of functions of one name the largest."""
+    """Return every excess in the tree by place; among functions of the same name, the largest."""
     found: dict[str, Excess] = {}
     for package in PACKAGES:
         for path in sorted((ROOT / package).rglob("*.py")):
@@ -73,7 +73,7 @@
 
 
 def problems(found: dict[str, Excess], excused: dict[str, int]) -> list[str]:
-    """Return what is over a bound without an excuse or beyond it, and each excuse that is not needed."""
+    """Return each excess without an excuse or beyond it, and each excuse that is not needed."""
     over = [
         f"{place}: {excess.size} is over the bound"
         if place not in excused
@@ -90,7 +90,7 @@
     assert not found, "\n".join(found)
 
 
-def test_a_new_excess_a_grown_one_and_an_unneeded_excuse_are_told() -> None:
+def test_new_and_grown_excesses_and_unneeded_excuses_are_reported() -> None:
     found = {place: Excess(place, 310) for place in ("new.py", "grown.py", "same.py", "smaller.py")}
     excused = {"grown.py": 305, "same.py": 310, "smaller.py": 400, "mended.py": 320}
     assert problems(found, excused) == [
@@ -138,7 +138,9 @@
 
 
 @pytest.mark.parametrize(("source", "told"), [(DEEP, 5), (CHAINED, None), (APART, None)])
-def test_nesting_counts_blocks_but_no_chain_and_no_function_within(source: str, told: int | None) -> None:
+def test_nesting_counts_blocks_but_no_elif_chain_and_no_nested_function(
+    source: str, told: int | None
+) -> None:
     assert [excess.size for excess in excesses("m.py", source)] == ([told] if told else [])
 
 
--- a/tests/test_core_stateful.py
+++ b/tests/test_core_stateful.py
@@ -1,4 +1,4 @@
-"""Whatever order events come in: one final answer in time, one attempt out, and none that the rules bar."""
+"""In any order of events: one final answer in time, one attempt in flight, and none against the rules."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Rogue:
-    """A module that does anything: sends twice, answers what is over, forgets, raises."""
+    """A faulty decision module: it sends twice, answers ended calls, forgets calls and raises exceptions."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -54,7 +54,7 @@
 
 
 class Requests(RuleBasedStateMachine):
-    """Requests under the decisions of the program's own module."""
+    """Requests decided by the program's own decision module."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -78,7 +78,7 @@
 
     @precondition(lambda self: any(one.gone for one in self.world.clients.asked))
     @rule()
-    def read_that_they_left(self) -> None:
+    def process_departures(self) -> None:
         for one in self.world.clients.asked:
             if one.gone:
                 self.world.core.withdraw(one.handle)
@@ -133,28 +133,28 @@
         self.world.hand.advance(wait_us)
 
     @invariant()
-    def every_answer_in_its_time(self) -> None:
+    def every_answer_is_in_time(self) -> None:
         self.world.check()
 
-    def nothing_is_kept(self) -> None:
+    def assert_nothing_is_kept(self) -> None:
         core = self.world.core
         assert not core.calls and not core.by_uid
         assert not self.servers.waiting and not self.servers.written
 
     def teardown(self) -> None:
-        self.read_that_they_left()
+        self.process_departures()
         self.world.hand.advance(4 * SECOND)
         self.world.check()
         for attempt in list(self.servers.standing):
             self.servers.end(attempt, api.Outcome.SERVED)
-        self.nothing_is_kept()
+        self.assert_nothing_is_kept()
 
 
 class DecidedRequests(Requests):
-    """The program's own module; it keeps nothing of what is over either."""
+    """The program's own decision module, which also keeps nothing of ended calls."""
 
-    def nothing_is_kept(self) -> None:
-        super().nothing_is_kept()
+    def assert_nothing_is_kept(self) -> None:
+        super().assert_nothing_is_kept()
         module = self.world.core.module
         assert isinstance(module, Controller)
         assert not module.calls and not module.calls_by_timer
@@ -162,14 +162,14 @@
 
 
 class RogueRequests(Requests):
-    """A module that can't be relied on: the rules are the core's."""
+    """A faulty decision module: the core must enforce the rules."""
 
     def module(self) -> DecisionModule:
         return Rogue(5)
 
 
 class RestartedRequests(DecidedRequests):
-    """Requests in a process that is told to end while they wait."""
+    """Requests in a process that shuts down while they wait."""
 
     @precondition(lambda self: len(self.world.core.calls) > 1)
     @rule()
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""What the daemon prints of its counters."""
+"""The printed form of the counters."""
 
 from __future__ import annotations
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""The operators' figures: counts added up over cores, and the bookers that are avoided."""
+"""Operators' metrics: counts summed over cores, and the number of ejected bookers."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from bitternbeam.metrics.pool import count_ejected
 
 
-def test_counts_add_up_over_cores_and_pass_over_unknown_classes() -> None:
+def test_counts_are_summed_over_cores_and_unknown_classes_are_ignored() -> None:
     one, two = RequestCounts(("voice", "data")), RequestCounts(("voice",))
     events = [(one, "ok", "voice"), (one, "ok", "voice"), (two, "ok", "voice"), (one, "shed", "data")]
     events += [(two, "errors", "fax"), (two, "tries", "voice")]
-    for figures, kind, name in events:
-        figures.increment(kind, name)
+    for counts, kind, name in events:
+        counts.increment(kind, name)
     total = sum_counts([one, two])
     assert total["ok"] == {"voice": 3, "data": 0}
     assert total["shed"] == {"voice": 0, "data": 1}
-    assert total["errors"] == {"voice": 0, "data": 0}  # no caller adds a key
+    assert total["errors"] == {"voice": 0, "data": 0}  # a client cannot add a key
     assert total["tries"] == {"voice": 1, "data": 0}
     shown = snapshot(total, active=2, pool_size=3, pool_ejected=1)
     keys = ["ok", "shed", "errors", "tries", "tries_by_class", "active", "pool_size", "pool_ejected"]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports go one way, and the core and the module know no wire."""
+"""Imports form no cycles, and the core and the decision module use no network code."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return found
 
 
-def test_no_module_imports_in_a_circle() -> None:
+def test_imports_have_no_cycles() -> None:
     left = {name: {one for one in used if one.startswith("bitternbeam.")} for name, used in imports().items()}
     while free := [name for name, used in left.items() if not used & (left.keys() - {name})]:
         for name in free:
@@ -27,7 +27,7 @@
     assert not left
 
 
-def test_core_and_module_know_no_wire() -> None:
+def test_core_and_decision_module_import_no_network_code() -> None:
     for name, used in imports().items():
         if name.startswith(
             ("bitternbeam.core", "bitternbeam.decision", "bitternbeam.tables", "bitternbeam.metrics")
@@ -35,8 +35,8 @@
             assert not [one for one in used if one.startswith(("twisted", "zope", "bitternbeam.net"))], name
 
 
-def test_the_fleets_decisions_know_nobody() -> None:
-    # Leases, tokens and owners are decided from what they are told: no wire, no clock, no other part.
+def test_fleet_decisions_import_no_other_package_and_no_io() -> None:
+    # Leases, tokens and owners are decided from arguments alone: no I/O, no clock, no other package.
     for name, used in imports().items():
         if name.startswith("bitternbeam.fleet"):
             outside = {
@@ -48,14 +48,14 @@
             assert not used & {"twisted", "time", "random", "socket", "asyncio"}, name
 
 
-def test_no_name_of_a_deployment_stands_in_the_program() -> None:
-    # Classes, sites and zones come from the settings; a name in the code would be one deployment's.
+def test_the_program_contains_no_name_of_a_deployment() -> None:
+    # Classes, sites and zones come from the settings; a name in the code would fit one deployment only.
     named = re.compile(r"budapest|debrecen|szeged|gy[oő]r|hungar|fogpont|patient|slot-|profile-view", re.I)
     for path in ROOT.rglob("*.py"):
         assert not named.findall(path.read_text()), path
 
 
-def test_every_limit_is_accounted_for() -> None:
-    # A fixed time that nobody argued for fits the one deployment that it was chosen on.
+def test_every_limit_is_documented() -> None:
+    # A fixed time without a documented reason may fit only the deployment for which it was chosen.
     page = (ROOT.parent / "docs/constants.md").read_text()
     assert not [name for name in Limits.__slots__ if f"`{name}`" not in page]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""The standing test's limits on `run`, checked on the process that the deploy file leaves."""
+"""The standing test's requirements on `run`, checked on the process started by the deploy file."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 def test_run_is_one_execd_process_of_ipv4_sockets_with_no_thread_busy(
     boards: list[Board], tmp_path: Path
 ) -> None:
-    # Each is refused under the standing test: a shell left around, a child, a Unix or IPv6 socket, a spin.
+    # The standing test rejects a remaining shell, a child process, a Unix or IPv6 socket, or a busy loop.
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=ROOT, check=True)
     path = tmp_path / "config.json"
@@ -75,7 +75,7 @@
             ipv4 = table_inodes(pid, "tcp") | table_inodes(pid, "udp")
             if held <= ipv4:
                 break
-            time.sleep(0.02)  # one whose connection was just refused stands in no table until it is closed
+            time.sleep(0.02)  # a socket whose connection was just refused is in no table until closed
         assert held, "it holds its listening sockets"
         assert held <= ipv4, held - ipv4
         assert not held & (table_inodes(pid, "tcp6") | table_inodes(pid, "udp6") | table_inodes(pid, "unix"))
--- a/tests/test_variant_sites.py
+++ b/tests/test_variant_sites.py
@@ -1,4 +1,4 @@
-"""The project's own site files keep their variation, and the files of a kit can be laid beside them."""
+"""The project's two site files differ as intended, and a kit's files can be copied beside them."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     assert sorted(site["allow"]["probes"] for site in sites.values()) == [False, True]
 
 
-def test_a_site_has_tenants_whose_shares_make_one(sites: dict[str, Site]) -> None:
+def test_a_site_has_tenants_whose_shares_add_up_to_one(sites: dict[str, Site]) -> None:
     shares = [[tenant["share"] for tenant in site["tenant"]] for site in sites.values() if "tenant" in site]
     assert shares
     assert all(len(each) > 1 and sum(each) == pytest.approx(1) for each in shares)
@@ -155,6 +155,6 @@
 
 
 @pytest.mark.parametrize("name", [*REQUIRED_FILES, "design.json"])
-def test_what_is_laid_is_ignored_by_git(name: str) -> None:
+def test_copied_files_are_ignored_by_git(name: str) -> None:
     lines = (SITES_FOLDER.parent.parent / ".gitignore").read_text("utf-8").split("\n")
     assert f"/deploy/sites/{name}" in lines
--- a/tests/test_waiting_attempts.py
+++ b/tests/test_waiting_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt that waits for a connection: the rules are checked again at the moment of writing."""
+"""Attempts that wait for a connection: the rules are checked again just before writing."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Waiting(Stage):
-    """A stage on which one request waits for the connection to its server."""
+    """A setup in which one request waits for the connection to its server."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
@@ -27,7 +27,7 @@
         self.address = self.ports[0].getHost().port
 
     def wait(self, **odd: str) -> None:
-        """Send a request that then waits."""
+        """Send a request that waits for its connection."""
         self.request(self.client, ID, **odd)
         until(lambda: self.back.requests)
         assert not self.peers(ID)
@@ -35,14 +35,14 @@
     def tell(
         self, state: SwitchState, *, started_us: int = 0, port: int = 0, only_core: bool = False
     ) -> None:
-        """Bring news of the server's state, start or address."""
+        """Report a new state, start or address of the server."""
         self.core.update_bookers(ListKind.CHANGES, [SwitchEntry("s0", 0, state, started_us)])
         if not only_core:
             place = BookerEndpoint("s0", "127.0.0.1", port or self.address, state, started_us)
             self.back.update_endpoints([place], False)
 
     def second_server(self) -> list[Peer]:
-        """List one more server, which can be reached at once."""
+        """List another server that is reachable at once."""
         peers: list[Peer] = []
         factory = type(self.ports[0].factory)()
         factory.buildProtocol = lambda _addr: peers.append(Peer()) or peers[-1]  # type: ignore[func-returns-value]
@@ -57,7 +57,7 @@
         return peers
 
     def nothing_is_written(self) -> None:
-        """Let the connection come up; what waited for it must not be written there."""
+        """Open the connection and assert that the waiting attempt is not written to it."""
         known = len(self.bookers)
         self.connects.complete_all()
         until(lambda: len(self.bookers) > known or not self.back.pools)
@@ -72,7 +72,7 @@
     one.close()
 
 
-def test_one_that_may_still_go_is_written_when_the_connection_comes_up(stage: Waiting) -> None:
+def test_an_attempt_that_is_still_allowed_is_written_when_the_connection_opens(stage: Waiting) -> None:
     stage.wait()
     stage.connects.complete_all()
     until(lambda: stage.peers(ID))
@@ -81,10 +81,10 @@
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
-def test_a_server_that_drained_or_went_gets_nothing_when_its_connection_comes_up(
+def test_a_server_that_drained_or_went_gets_nothing_when_its_connection_opens(
     stage: Waiting, state: SwitchState
 ) -> None:
-    # Every attempt that waited was written, however long ago the list had said so.
+    # Waiting attempts were once written even if the server had been draining or removed for long.
     stage.wait()
     stage.tell(state, only_core=True)
     stage.nothing_is_written()
@@ -96,7 +96,7 @@
 def test_the_request_goes_on_elsewhere_at_once_when_its_server_drains_or_goes(
     stage: Waiting, state: SwitchState
 ) -> None:
-    # It waited for a connection that was of no more use, and then as long again for a release of nothing.
+    # The request waited for a useless connection, then as long again for a release that was not needed.
     stage.wait()
     other = stage.second_server()
     due_us = stage.core.clock.now_us() + stage.core.settings.release_wait_us
@@ -123,16 +123,16 @@
     assert not stage.peers(ID) and sum(ID in one.launches for one in peers) == 1
 
 
-def test_a_server_that_started_anew_gets_nothing_that_was_decided_on_before(stage: Waiting) -> None:
-    # The decision knew of no slow start: so many waiting attempts came at once to a cold server.
+def test_a_restarted_server_gets_no_attempt_decided_before_its_restart(stage: Waiting) -> None:
+    # The decisions predate the slow start, so all waiting attempts reached a cold server at once.
     stage.wait()
     stage.tell(READY, started_us=stage.core.clock.now_us(), only_core=True)
     stage.nothing_is_written()
     assert stage.counters["sends.stale.restarted"] == 1
-    assert stage.client.kinds(ID) == [("stop", 34)]  # its slow start has no room yet
+    assert stage.client.kinds(ID) == [("stop", 34)]  # its slow start allows no attempt yet
 
 
-def test_a_client_that_has_left_is_not_sent_on(stage: Waiting) -> None:
+def test_no_attempt_is_written_for_a_client_that_has_left(stage: Waiting) -> None:
     stage.wait()
     stage.front.is_client_waiting = lambda ref: False  # type: ignore[method-assign]
     stage.nothing_is_written()
@@ -140,29 +140,27 @@
     assert not stage.core.calls and not stage.module.calls and not stage.back.requests
 
 
-def test_a_client_that_cancels_while_its_request_waits_is_not_sent_on(stage: Waiting) -> None:
+def test_no_attempt_is_written_after_its_client_cancelled(stage: Waiting) -> None:
     stage.wait()
     stage.client.send("stop", ID, reason=16)
     until(lambda: not stage.core.calls)
     stage.nothing_is_written()
 
 
-def test_a_wait_that_lasts_to_the_end_of_its_time_leaves_no_release_in_doubt(stage: Waiting) -> None:
-    # It counted as an attempt that was not answered, whose release had to be waited for.
+def test_an_attempt_that_never_got_a_connection_leaves_no_uncertain_release(stage: Waiting) -> None:
+    # It was counted as unanswered, so the call waited for a release.
     stage.wait(left="400")
     until(lambda: stage.client.kinds(ID))
     assert stage.counters["outcomes.no_connection"] == 1 and not stage.counters["outcomes.no_answer"]
     stage.nothing_is_written()
 
 
-def test_time_that_ran_out_while_the_loop_stood_still_is_seen_at_the_moment_of_writing(
-    stage: Waiting,
-) -> None:
+def test_a_deadline_that_passed_while_the_loop_was_blocked_is_checked_before_writing(stage: Waiting) -> None:
     stage.wait(left="400")
     (leg,) = stage.back.requests.values()
     while stage.core.clock.now_us() < stage.core.by_uid[ID].answer_by_us:
         pass
-    assert not stage.core.may_write(leg.attempt)  # its timer is due, and has not had its turn
+    assert not stage.core.may_write(leg.attempt)  # its timer is due but has not run yet
     assert stage.counters["sends.stale.too_late"] == 1
     until(lambda: stage.client.kinds(ID))
     stage.nothing_is_written()
