--- a/bitternbeam/config.py
+++ b/bitternbeam/config.py
@@ -57,7 +57,7 @@
     """Read the file named by GW_CONFIG; GW_NAME and GW_LISTEN override it. Raises ConfigError."""
     top = _read_file(environment.get("GW_CONFIG"))
     try:
-        return _config(top, environment)
+        return _parse_config(top, environment)
     except FieldError as error:
         raise ConfigError(str(error)) from None
 
@@ -75,7 +75,7 @@
         raise ConfigError(f"GW_CONFIG: {path}: not JSON: {error}") from None
 
 
-def _config(top: Fields, environment: Mapping[str, str]) -> Config:
+def _parse_config(top: Fields, environment: Mapping[str, str]) -> Config:
     for key in ("board", "known", "settings"):
         if not top.contains(key):
             raise ConfigError(f"{key}: missing")
--- a/bitternbeam/core/admission.py
+++ b/bitternbeam/core/admission.py
@@ -33,7 +33,7 @@
     now_us: int,
     listing: Listing,
     *,
-    most_away_us: int,
+    max_retry_after_us: int,
     gate: AdmissionFilter | None,
     policies: PlanProvider | None,
     bounds: TrafficLimiter | None,
@@ -41,17 +41,19 @@
     """Ask the plan provider, the filter and the limiter in turn, cheapest first; the first refusal counts."""
     plan = policies.pin_plan(now_us, offer) if policies else NO_PLAN
     if isinstance(plan, int):
-        return Rejected("calls.over_their_limits", min(plan, most_away_us), None)
-    away_us = gate.check_call(offer.call_class, offer.cell, offer.left_us, offer.redial) if gate else None
-    if away_us is not None:
-        return Rejected("calls.refused_by_plugin", away_us, plan)
+        return Rejected("calls.over_their_limits", min(plan, max_retry_after_us), None)
+    delay_us = gate.check_call(offer.call_class, offer.cell, offer.left_us, offer.redial) if gate else None
+    if delay_us is not None:
+        return Rejected("calls.refused_by_plugin", delay_us, plan)
     if bounds is None:
         return Admitted(plan, gate, plan.allowed)
-    away_us = bounds.admit(offer, now_us)
-    if away_us is not None:
-        return Rejected("calls.throttled", min(away_us, most_away_us), plan)
-    dry = bounds.exhausted_bookers(offer, now_us)
-    if dry and not listing.has_available(plan, dry):
+    delay_us = bounds.admit(offer, now_us)
+    if delay_us is not None:
+        return Rejected("calls.throttled", min(delay_us, max_retry_after_us), plan)
+    exhausted = bounds.exhausted_bookers(offer, now_us)
+    if exhausted and not listing.has_available(plan, exhausted):
         bounds.call_ended(offer)
         return Rejected("calls.over_all_shares", 0, plan)
-    return Admitted(plan, gate, listing.exclude_bookers(plan.allowed, dry) if dry else plan.allowed)
+    return Admitted(
+        plan, gate, listing.exclude_bookers(plan.allowed, exhausted) if exhausted else plan.allowed
+    )
--- a/bitternbeam/core/control.py
+++ b/bitternbeam/core/control.py
@@ -59,41 +59,39 @@
             front.send_failure(offer.ref, late=False)
             return 0
         if self.calls.full:
-            self._turn_away(
-                front, offer, Rejected("calls.over_the_limit", self.settings.max_stay_away_us, None)
-            )
+            self._reject(front, offer, Rejected("calls.over_the_limit", self.settings.max_stay_away_us, None))
             return 0
         now_us = self.clock.now_us()
-        verdict = admit(
+        admission = admit(
             offer,
             now_us,
             self.listing,
-            most_away_us=self.settings.max_stay_away_us,
+            max_retry_after_us=self.settings.max_stay_away_us,
             gate=self.admission_filter,
             policies=self.plan_provider,
             bounds=self.limiter,
         )
-        if isinstance(verdict, Rejected):
-            self._turn_away(front, offer, verdict)
+        if isinstance(admission, Rejected):
+            self._reject(front, offer, admission)
             return 0
-        plan = verdict.plan
-        kept_us = offer.left_us if plan.answer_in_us is None else min(offer.left_us, plan.answer_in_us)
-        end_us = offer.received_us + kept_us - self.limits.answer_margin_us
-        call = Call(offer, front, plan, verdict.admission_filter, end_us)
+        plan = admission.plan
+        allowed_us = offer.left_us if plan.answer_in_us is None else min(offer.left_us, plan.answer_in_us)
+        end_us = offer.received_us + allowed_us - self.limits.answer_margin_us
+        call = Call(offer, front, plan, admission.admission_filter, end_us)
         call.handle = self.calls.put(call)
         self.by_uid[offer.uid] = call
-        call.deadline = self.clock.call_at(end_us, lambda: self._time_up(call))
+        call.deadline = self.clock.call_at(end_us, lambda: self._deadline_passed(call))
         call.release_wait_until_us = self.held_ids.get(offer.uid, 0)
         if now_us < call.release_wait_until_us:
             # An earlier attempt with this id may still be held by a booker, as its release is uncertain;
             # another attempt now could make two at once.
             self.counters.add("calls.held_as_repeats")
-            self.clock.call_at(call.release_wait_until_us, lambda: self._put(call, verdict.allowed))
+            self.clock.call_at(call.release_wait_until_us, lambda: self._submit(call, admission.allowed))
         else:
-            self._put(call, verdict.allowed)
+            self._submit(call, admission.allowed)
         return call.handle
 
-    def _put(self, call: Call, allowed: tuple[api.Tier, ...] | None) -> None:
+    def _submit(self, call: Call, allowed: tuple[api.Tier, ...] | None) -> None:
         """Pass a call to the decision module if it has no final answer yet."""
         if call.state is not CallState.PENDING:
             return
@@ -113,14 +111,14 @@
             )
         )
 
-    def _turn_away(self, front: Frontend, offer: Offer, verdict: Rejected) -> None:
+    def _reject(self, front: Frontend, offer: Offer, admission: Rejected) -> None:
         """Refuse an offer before it becomes a call."""
-        self.counters.add(verdict.counter)
+        self.counters.add(admission.counter)
         self.metrics.increment("shed", offer.call_class)
-        front.send_refusal(offer.ref, verdict.retry_after_us)
-        if self.plan_provider and verdict.plan is not None:
-            self.plan_provider.final_answer_sent(verdict.plan, False)
-            self.plan_provider.call_ended(verdict.plan)
+        front.send_refusal(offer.ref, admission.retry_after_us)
+        if self.plan_provider and admission.plan is not None:
+            self.plan_provider.final_answer_sent(admission.plan, False)
+            self.plan_provider.call_ended(admission.plan)
 
     def withdraw(self, handle: int) -> None:
         """Withdraw a call whose client gave up; no answer is sent."""
@@ -244,7 +242,7 @@
             if call is None or call.state is not CallState.PENDING:
                 self.counters.add("module.too_late")
                 if isinstance(action, api.Send):  # the module counts it as in flight
-                    self._never_sent(action.call, -1, action.switch, finished=True)
+                    self._report_not_sent(action.call, -1, action.switch, finished=True)
             elif isinstance(action, api.Send):
                 self._send(call, action)
             elif isinstance(action, api.Cancel):
@@ -261,7 +259,7 @@
             if final:
                 self.counters.add(f"sends.barred.{why}")
                 self.send_final_answer(call, api.Fail(uid) if may_have_run(call) else api.Refuse(uid))
-                self._never_sent(uid, call.attempts, switch, finished=True)
+                self._report_not_sent(uid, call.attempts, switch, finished=True)
                 return
         number = call.attempts
         call.attempts += 1
@@ -270,29 +268,29 @@
             if self.plan_provider:
                 self.plan_provider.send_rejected(call.plan, why)
             if call.current_attempt is None:  # otherwise the outcome of that attempt follows
-                self._never_sent(uid, number, switch, finished=False)
+                self._report_not_sent(uid, number, switch, finished=False)
             return
         left_us = min(action.timeout_us or call.answer_by_us - now_us, call.answer_by_us - now_us)
         started_us = self.listing.started_us(switch)
         attempt = Attempt(call.handle, number, switch, call.offer, left_us, now_us, started_us)
         call.current_attempt, call.booker = attempt, switch
-        attempt.deadline = self.clock.call_at(now_us + left_us, lambda: self._unanswered(attempt))
+        attempt.deadline = self.clock.call_at(now_us + left_us, lambda: self._attempt_timed_out(attempt))
         call.sent_attempts += 1
         self.counters.add("sends")
         self.trace("sent", call)
         self.back.set_up(attempt)
 
-    def _never_sent(self, uid: str, number: int, switch: str, finished: bool) -> None:
+    def _report_not_sent(self, uid: str, number: int, switch: str, finished: bool) -> None:
         """Report an attempt that was not sent, or the module would count it as in flight for ever."""
         self.event_queue.enqueue(api.AttemptEnded(uid, number, switch, api.Outcome.NOT_SENT, 0, finished))
 
-    def _unanswered(self, attempt: Attempt) -> None:
+    def _attempt_timed_out(self, attempt: Attempt) -> None:
         call = self.calls.get(attempt.call_handle)
         if call is not None and call.current_attempt is attempt and call.state is CallState.PENDING:
             self.cancel_attempt(call, api.Outcome.NO_ANSWER)
             self.remove_if_finished(call)
 
-    def _time_up(self, call: Call) -> None:
+    def _deadline_passed(self, call: Call) -> None:
         """Fail a call that the decision module did not answer in time."""
         if call.state is CallState.PENDING:
             self.counters.add("calls.time_up")
--- a/bitternbeam/core/limiters.py
+++ b/bitternbeam/core/limiters.py
@@ -51,11 +51,11 @@
     def admit(self, offer: Offer, now_us: int) -> int | None:
         """Admit an offer if every limiter admits it; else return the first retry delay."""
         for index, link in enumerate(self.links):
-            away_us = link.admit(offer, now_us)
-            if away_us is not None:
-                for passed in self.links[:index]:
-                    passed.call_ended(offer)
-                return away_us
+            delay_us = link.admit(offer, now_us)
+            if delay_us is not None:
+                for admitted in self.links[:index]:
+                    admitted.call_ended(offer)
+                return delay_us
         return None
 
     def exhausted_bookers(self, offer: Offer, now_us: int) -> frozenset[str]:
@@ -65,11 +65,11 @@
     def try_send(self, booker: str, retry: bool, offer: Offer, now_us: int) -> str:
         """Return the first reason against an attempt; '' if it may be sent."""
         for index, link in enumerate(self.links):
-            why = link.try_send(booker, retry, offer, now_us)
-            if why:
-                for passed in self.links[:index]:
-                    passed.cancel_send(booker, offer)
-                return why
+            reason = link.try_send(booker, retry, offer, now_us)
+            if reason:
+                for admitted in self.links[:index]:
+                    admitted.cancel_send(booker, offer)
+                return reason
         return ""
 
     def cancel_send(self, booker: str, offer: Offer) -> None:
--- a/bitternbeam/core/listing.py
+++ b/bitternbeam/core/listing.py
@@ -49,22 +49,24 @@
         cell = self.cells.get(booker, -1)
         return plan.allowed is None or any(tier.contains(booker, cell) for tier in plan.allowed)
 
-    def has_available(self, plan: Plan, dry: frozenset[str]) -> bool:
+    def has_available(self, plan: Plan, exhausted: frozenset[str]) -> bool:
         """Return whether any ready booker that the plan allows is not exhausted."""
         ready = SwitchState.READY
         return any(
-            state is ready and name not in dry and self.allows(plan, name)
+            state is ready and name not in exhausted and self.allows(plan, name)
             for name, state in self.states.items()
         )
 
-    def exclude_bookers(self, allowed: tuple[Tier, ...] | None, dry: frozenset[str]) -> tuple[Tier, ...]:
+    def exclude_bookers(
+        self, allowed: tuple[Tier, ...] | None, exhausted: frozenset[str]
+    ) -> tuple[Tier, ...]:
         """Return the allowed tiers without the exhausted bookers."""
         if allowed is None:
-            return (Tier({}, frozenset(self.cells.values()), dry),)
+            return (Tier({}, frozenset(self.cells.values()), exhausted),)
         return tuple(
             Tier(
-                {name: weight for name, weight in tier.switches.items() if name not in dry},
-                tier.cells, tier.excluded | dry, tier.weights,
+                {name: weight for name, weight in tier.switches.items() if name not in exhausted},
+                tier.cells, tier.excluded | exhausted, tier.weights,
             )
             for tier in allowed
         )  # fmt: skip
--- a/bitternbeam/core/table.py
+++ b/bitternbeam/core/table.py
@@ -184,7 +184,7 @@
             call.release_wait_until_us = now_us + self.settings.release_wait_us
         if self.limiter:
             ended = self.limiter.attempt_ended
-            self._once_released(call, now_us, lambda: ended(attempt.booker, call.offer))
+            self._after_release(call, now_us, lambda: ended(attempt.booker, call.offer))
         self.event_queue.process(
             api.AttemptEnded(
                 call=call.offer.uid,
@@ -200,7 +200,7 @@
             )
         )
 
-    def _once_released(self, call: Call, now_us: int, tell: Callable[[], None]) -> None:
+    def _after_release(self, call: Call, now_us: int, tell: Callable[[], None]) -> None:
         """Call tell at once, or after an uncertain release, until which the booker may hold the attempt."""
         if now_us < call.release_wait_until_us:
             self.clock.call_at(call.release_wait_until_us, tell)
@@ -211,24 +211,24 @@
         """Remove a call once it is answered and has no attempt in flight."""
         if call.state is CallState.ENDED and call.current_attempt is None and self.calls.pop(call.handle):
             self.by_uid.pop(call.offer.uid, None)
-            self._hold(call.offer.uid, call.release_wait_until_us)
+            self._hold_id(call.offer.uid, call.release_wait_until_us)
             if self.on_idle:
                 self.clock.call_at(self.clock.now_us(), self.check_idle)
             if self.plan_provider:
                 self.plan_provider.call_ended(call.plan)
             if self.limiter:
                 over = self.limiter.call_ended
-                self._once_released(call, self.clock.now_us(), lambda: over(call.offer))
+                self._after_release(call, self.clock.now_us(), lambda: over(call.offer))
             if call.admission_filter is not None:
                 took_us = self.clock.now_us() - call.offer.received_us
                 call.admission_filter.call_ended(call.offer.call_class, call.outcome, call.attempts, took_us)
 
-    def _hold(self, uid: str, until_us: int) -> None:
+    def _hold_id(self, uid: str, until_us: int) -> None:
         """Remember an id until an uncertain release must have been carried out."""
         if self.clock.now_us() < until_us:
             self.held_ids[uid] = until_us
-            self.clock.call_at(until_us, lambda: self._let_go(uid))
+            self.clock.call_at(until_us, lambda: self._release_id(uid))
 
-    def _let_go(self, uid: str) -> None:
+    def _release_id(self, uid: str) -> None:
         if self.held_ids.get(uid, 0) <= self.clock.now_us():
             self.held_ids.pop(uid, None)
--- a/bitternbeam/logs.py
+++ b/bitternbeam/logs.py
@@ -17,23 +17,23 @@
 
 def configure_logging(form: str, level: str, sink: TextIO | None = None) -> None:
     """Send all logs to a stream (standard error by default) as `plain` or `json`."""
-    before: list[structlog.typing.Processor] = [
+    shared: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.stdlib.ExtraAdder(allow=FIELDS),
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    last: structlog.typing.Processor
+    renderer: structlog.typing.Processor
     if form == "json":
-        before.append(structlog.processors.format_exc_info)
-        last = structlog.processors.JSONRenderer()
+        shared.append(structlog.processors.format_exc_info)
+        renderer = structlog.processors.JSONRenderer()
     else:
-        last = structlog.dev.ConsoleRenderer(colors=False, pad_event_to=0, pad_level=False)
+        renderer = structlog.dev.ConsoleRenderer(colors=False, pad_event_to=0, pad_level=False)
     handler = logging.StreamHandler(sink or sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=before,
-            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, last],
+            foreign_pre_chain=shared,
+            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
         )
     )
     root = logging.getLogger()
--- a/bitternbeam/metrics/counts.py
+++ b/bitternbeam/metrics/counts.py
@@ -39,11 +39,11 @@
 def sum_counts(parts: Iterable[RequestCounts]) -> dict[str, dict[str, int]]:
     """Return the sums of several cores: {kind: {class: count}}."""
     total: dict[str, dict[str, int]] = {kind: {} for kind in KINDS}
-    for figures in parts:
+    for counts in parts:
         for kind in KINDS:
-            into = total[kind]
-            for name, value in getattr(figures, kind).items():
-                into[name] = into.get(name, 0) + value
+            sums = total[kind]
+            for name, value in getattr(counts, kind).items():
+                sums[name] = sums.get(name, 0) + value
     return total
 
 
--- a/bitternbeam/settings.py
+++ b/bitternbeam/settings.py
@@ -30,21 +30,21 @@
     except ValueError as error:
         raise InputError(f"settings are not JSON: {error}") from None
     try:
-        return _settings(Fields(raw))
+        return _parse_settings(Fields(raw))
     except FieldError as error:
         raise InputError(f"settings: {error}") from None
     except ValueError as error:
         raise InputError(str(error)) from None
 
 
-def _settings(top: Fields) -> api.Settings:
+def _parse_settings(top: Fields) -> api.Settings:
     domain, safety, limits = top.nested("domain"), top.nested("safety"), top.nested("limits")
     here = domain.integer("here", minimum=-1)
     away_us = limits.integer("max_retry_after_us", minimum=0) if limits.boolean("retry_after", False) else 0
     return api.Settings(
         gateways=top.integer("balancers", above=0),
-        classes=_classes(top, domain),
-        tenants=_tenants(top),
+        classes=_parse_classes(top, domain),
+        tenants=_parse_tenants(top),
         over_share_worth=top.number("over_share_worth", 1.0, minimum=0, maximum=1),
         max_attempts=limits.integer("max_attempts", above=0),
         may_probe=limits.boolean("may_probe"),
@@ -62,18 +62,18 @@
     )
 
 
-def _classes(top: Fields, domain: Fields) -> tuple[api.CallClass, ...]:
+def _parse_classes(top: Fields, domain: Fields) -> tuple[api.CallClass, ...]:
     items = top.objects("request_classes")
     pools = domain.text("shape") == "pools" and domain.raw.get("class_cells")
-    cells = _cells(domain, len(items)) if pools else [None] * len(items)
+    cells = _parse_cells(domain, len(items)) if pools else [None] * len(items)
     if not items:
         raise FieldError("'request_classes' must hold at least one class")
-    classes = tuple(_class(item, cells[index]) for index, item in enumerate(items))
+    classes = tuple(_parse_class(item, cells[index]) for index, item in enumerate(items))
     _check_names("request_classes", [one.name for one in classes])
     return classes
 
 
-def _class(item: Fields, cells: tuple[int, ...] | None) -> api.CallClass:
+def _parse_class(item: Fields, cells: tuple[int, ...] | None) -> api.CallClass:
     effect = item.text("idempotency")
     if effect not in EFFECTS:
         raise FieldError(f"'{item.full_key('idempotency')}' must be one of {', '.join(EFFECTS)}")
@@ -88,7 +88,7 @@
     )
 
 
-def _cells(domain: Fields, classes: int) -> list[tuple[int, ...] | None]:
+def _parse_cells(domain: Fields, classes: int) -> list[tuple[int, ...] | None]:
     """Return the cells allowed for each class."""
     rows = domain.array("class_cells")
     if len(rows) < classes:
@@ -100,7 +100,7 @@
     return [tuple(row) for row in rows]
 
 
-def _tenants(top: Fields) -> tuple[api.Tenant, ...]:
+def _parse_tenants(top: Fields) -> tuple[api.Tenant, ...]:
     tenants = tuple(
         api.Tenant(item.text("name"), item.number("quota_per_s", minimum=0))
         for item in top.objects("tenants", [])
