--- a/bitternbeam/configuration/pinning.py
+++ b/bitternbeam/configuration/pinning.py
@@ -1,4 +1,4 @@
-"""Which version a call is decided under: pinned at its offer, judged by its end: the core's Policies."""
+"""Which version a call is decided under: pinned at its offer, judged by its end: the core's PlanProvider."""
 
 from __future__ import annotations
 
--- a/bitternbeam/net/platform/back.py
+++ b/bitternbeam/net/platform/back.py
@@ -22,7 +22,7 @@
 
 
 class PlatformBack:
-    """The pools of all bookers. It is the core's Back."""
+    """The pools of all bookers. It implements the core's Backend."""
 
     def __init__(
         self, reactor: Any, core: CallControl, deadlines: Deadlines, limits: Limits, counters: Counters
@@ -106,7 +106,7 @@
         for pool in self.pools.values():
             pool.close()
 
-    # The core's Back.
+    # The core's Backend.
 
     def set_up(self, attempt: Attempt) -> None:
         """Send a set-up."""
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -27,7 +27,7 @@
 
 
 class PlatformFront(Factory):
-    """All clients' connections and their requests. It is the core's Front."""
+    """All clients' connections and their requests. It implements the core's Frontend."""
 
     noisy = False
 
@@ -221,7 +221,7 @@
             self.idle_connections.touch(connection)
         return connection
 
-    # The core's Front.
+    # The core's Frontend.
 
     def send_answer(self, ref: int, body: object) -> None:
         """Pass on an answer with the server's description."""
--- a/bitternbeam/net/sip/back.py
+++ b/bitternbeam/net/sip/back.py
@@ -1,4 +1,4 @@
-"""SIP servers: the client side of the B2BUA. It is the core's Back."""
+"""SIP servers: the client side of the B2BUA. It implements the core's Backend."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
         self.by_dialog: dict[Identity, Leg] = {}
         self.closing: dict[ClientTransaction, Leg] = {}  # by the BYE of an unwanted 200
 
-    # The core's Back.
+    # The core's Backend.
 
     def set_up(self, attempt: Attempt) -> None:
         """Send an INVITE of our own: new Call-ID and tag, the caller's description unchanged."""
--- a/bitternbeam/net/sip/front.py
+++ b/bitternbeam/net/sip/front.py
@@ -1,4 +1,4 @@
-"""SIP callers: the server side of the B2BUA. It is the core's Front."""
+"""SIP callers: the server side of the B2BUA. It implements the core's Frontend."""
 
 from __future__ import annotations
 
@@ -153,7 +153,7 @@
         """Give a final answer that needs no leg."""
         transaction.respond(respond(request, status, secrets.token_hex(4), extra or []))
 
-    # The core's Front.
+    # The core's Frontend.
 
     def send_progress(self, ref: int) -> None:
         """Let the caller's telephone ring, once."""
--- a/bitternbeam/plugins/wasm.py
+++ b/bitternbeam/plugins/wasm.py
@@ -1,4 +1,4 @@
-"""A WebAssembly plug-in as the core's Gate (docs/plugins.md has its interface).
+"""A WebAssembly plug-in as the core's AdmissionFilter (docs/plugins.md has its interface).
 
 It can't break a rule: it is asked before a call's first set-up, when refusing is harmless, it sees numbers
 only, and it runs out of fuel before a caller would notice. One that traps is counted and never asked again.
--- a/bitternbeam/wiring/platform.py
+++ b/bitternbeam/wiring/platform.py
@@ -29,7 +29,7 @@
 
 
 class RefuseAll:
-    """The core's Gate while the process closes: there is no time left to serve what still arrives."""
+    """The core's AdmissionFilter during shutdown: no time is left to serve new calls."""
 
     def __init__(self, counters: Counters) -> None:
         self.counters = counters
