--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -10,7 +10,7 @@
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
 from bitternbeam.limits import Limits
-from tests.hand_clock import HandClock
+from tests.manual_clock import ManualClock
 from tests.world import MS, SECOND, SETTINGS
 
 READY = api.SwitchState.READY
@@ -18,21 +18,21 @@
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     """A client's request as the test follows it."""
 
     uid: str
-    end_us: int  # its client's time is up
+    deadline_us: int  # its client's time is up
     handle: int = 0
-    gone: bool = False  # the client has left
+    client_left: bool = False  # the client has left
     answers: list[str] = field(default_factory=list)
-    over: bool = False  # a call that stood was released
+    released: bool = False  # a call that stood was released
 
 
-class Broken(list[str]):
+class Violations(list[str]):
     """Rules that were broken: an error raised where the core calls would only be logged there."""
 
-    def unless(self, holds: object, what: str) -> None:
+    def expect(self, holds: object, what: str) -> None:
         """Note a broken rule."""
         if not holds:
             self.append(what)
@@ -41,17 +41,17 @@
 class Clients:
     """The core's Front: checks each answer against what is owed."""
 
-    def __init__(self, hand: HandClock, broken: Broken) -> None:
+    def __init__(self, hand: ManualClock, broken: Violations) -> None:
         """Know no request."""
         self.hand = hand
-        self.broken = broken
-        self.asked: list[Asked] = []
+        self.violations = broken
+        self.requests: list[ClientRequest] = []
 
     def _answer(self, ref: int, what: str) -> None:
-        one = self.asked[ref]
-        one.answers.append(what)
-        self.broken.unless(len(one.answers) == 1, f"{one.uid}: {one.answers}")
-        self.broken.unless(self.hand.time_us <= one.end_us, f"{one.uid}: late")
+        request = self.requests[ref]
+        request.answers.append(what)
+        self.violations.expect(len(request.answers) == 1, f"{request.uid}: {request.answers}")
+        self.violations.expect(self.hand.time_us <= request.deadline_us, f"{request.uid}: late")
 
     def send_answer(self, ref: int, body: object) -> None:
         """Take an answer."""
@@ -70,22 +70,24 @@
 
     def send_release(self, ref: int, outcome: api.Outcome) -> None:
         """Take a release, which ends a call that stood, once."""
-        one = self.asked[ref]
-        self.broken.unless(one.answers == ["stands"] and not one.over, f"{one.uid}: released")
-        one.over = True
+        request = self.requests[ref]
+        self.violations.expect(
+            request.answers == ["stands"] and not request.released, f"{request.uid}: released"
+        )
+        request.released = True
 
     def is_client_waiting(self, ref: int) -> bool:
         """Tell whether the client is there."""
-        return not self.asked[ref].gone
+        return not self.requests[ref].client_left
 
 
 class Servers:
     """The core's Back: attempts wait for a connection until the test writes them, and checks each write."""
 
-    def __init__(self, hand: HandClock, broken: Broken) -> None:
+    def __init__(self, hand: ManualClock, broken: Violations) -> None:
         """Reach every server, with connections at hand."""
         self.hand = hand
-        self.broken = broken
+        self.violations = broken
         self.waiting: list[Attempt] = []
         self.written: list[Attempt] = []
         self.standing: list[Attempt] = []
@@ -111,17 +113,17 @@
         if not self.core.may_write(attempt):
             self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NOT_SENT))
             return
-        uid, unless = attempt.offer.uid, self.broken.unless
+        uid, unless = attempt.offer.uid, self.violations.expect
         self.core.attempt_written(attempt)
         out = [one for one in self.written + self.standing if one.offer.uid == uid]
         unless(not out, f"{uid}: two out")
         unless(self.hand.time_us >= self.held.get(uid, 0), f"{uid}: its release is in doubt")
         ready = self.core.listing.states.get(attempt.booker) is READY
         unless(ready, f"{uid}: to one that is not ready")
-        unless(not self.clients.asked[attempt.offer.ref].gone, f"{uid}: its client has left")
+        unless(not self.clients.requests[attempt.offer.ref].client_left, f"{uid}: its client has left")
         self.written.append(attempt)
 
-    def end(self, attempt: Attempt, outcome: api.Outcome) -> None:
+    def end_attempt(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """End an attempt that is out, or a call that stands."""
         self._over(attempt, outcome)
         self.core.attempt_ended(attempt, AttemptEnd(outcome))
@@ -157,39 +159,39 @@
 
     def __init__(self, module: DecisionModule, limits: Limits | None = None) -> None:
         """List three servers."""
-        self.hand = HandClock()
+        self.hand = ManualClock()
         self.deadlines = self.hand.deadlines
-        self.broken = Broken()
-        self.clients, self.servers = Clients(self.hand, self.broken), Servers(self.hand, self.broken)
+        self.violations = Violations()
+        self.clients, self.servers = Clients(self.hand, self.violations), Servers(self.hand, self.violations)
         self.counters = Counters()
         self.core = CallControl(module, SETTINGS, self.deadlines, limits or Limits(), self.counters)
         self.core.attach(self.servers)
         self.servers.core, self.servers.clients = self.core, self.clients
         self.names = ("s0", "s1", "s2")
         for name in self.names:
-            self.tell(name, READY)
+            self.report_server(name, READY)
 
-    def tell(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
+    def report_server(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
         """Bring news of a server."""
         entry = api.SwitchEntry(name, self.names.index(name), state, started_us)
         self.core.update_bookers(api.ListKind.CHANGES, (entry,))
 
-    def ask(self, uid: str, left_us: int = 3 * SECOND, cell: int = 0) -> Asked:
+    def send_request(self, uid: str, left_us: int = 3 * SECOND, cell: int = 0) -> ClientRequest:
         """Offer a request."""
-        one = Asked(uid, self.hand.time_us + left_us)
-        self.clients.asked.append(one)
-        ref = len(self.clients.asked) - 1
+        request = ClientRequest(uid, self.hand.time_us + left_us)
+        self.clients.requests.append(request)
+        ref = len(self.clients.requests) - 1
         offer = Offer(uid, "low", cell, left_us, self.hand.time_us, f"n{ref}", "v=0", ref)
-        one.handle = self.core.offer(self.clients, offer)
-        return one
+        request.handle = self.core.offer(self.clients, offer)
+        return request
 
-    def owed(self) -> list[Asked]:
+    def unanswered(self) -> list[ClientRequest]:
         """Return the requests whose client waits for its answer."""
-        return [one for one in self.clients.asked if not one.answers and not one.gone]
+        return [one for one in self.clients.requests if not one.answers and not one.client_left]
 
     def check(self) -> None:
         """Find no broken rule, and no request whose time is up without its answer."""
-        assert not self.broken and not self.counters["module.actions_failed"], self.broken
+        assert not self.violations and not self.counters["module.actions_failed"], self.violations
         margin_us = 1 * MS
-        late = [one.uid for one in self.owed() if one.end_us + margin_us < self.hand.time_us]
+        late = [one.uid for one in self.unanswered() if one.deadline_us + margin_us < self.hand.time_us]
         assert not late, f"no answer: {late}"
--- a/tests/downstream_world.py
+++ b/tests/downstream_world.py
@@ -21,8 +21,8 @@
 from bitternbeam.net.connect import listen
 from bitternbeam.net.platform.client_connection import ClientConnection
 from bitternbeam.net.platform.front import PlatformFront
-from tests.hand_clock import HandClock
 from tests.loop import reactor
+from tests.manual_clock import ManualClock
 from tests.world import SETTINGS
 
 ID, ID2, ID3 = "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", "00000000000000c3"
@@ -141,7 +141,7 @@
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.deadlines = self.clock.deadlines
         self.counters = Counters()
         self.module, self.back = ScriptedModule(), RecordingBack()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -14,7 +14,7 @@
 from tests.test_fleet_load import Script, Wires
 
 
-class Held(UnlimitedTraffic):
+class ConcurrencyLimiter(UnlimitedTraffic):
     """Amounts at once: of offers, and of attempts at each booker."""
 
     def __init__(self, offers: int = 9, attempts: int = 9, away_us: int = 0) -> None:
@@ -43,14 +43,14 @@
         self.held[""] -= 1
 
 
-def chain_of(wires: Wires, *links: Held) -> None:
+def chain_of(wires: Wires, *links: ConcurrencyLimiter) -> None:
     wires.core.limiter = LimiterChain([wires.bounds, *links])
 
 
 @pytest.mark.parametrize("outcome", [one for one in api.Outcome if one is not api.Outcome.NOT_SENT])
 @pytest.mark.parametrize("stands", [False, True])
 def test_what_a_call_holds_comes_back_once(outcome: api.Outcome, stands: bool) -> None:
-    wires, first, second = Wires(Script("a"), "a"), Held(), Held()
+    wires, first, second = Wires(Script("a"), "a"), ConcurrencyLimiter(), ConcurrencyLimiter()
     chain_of(wires, first, second)
     wires.offer(1)
     if stands:
@@ -67,7 +67,11 @@
 
 
 def test_the_first_refusal_stands_with_its_wait_and_nothing_stays_taken() -> None:
-    wires, first, second = Wires(Script("a"), "a"), Held(), Held(offers=1, away_us=70_000)
+    wires, first, second = (
+        Wires(Script("a"), "a"),
+        ConcurrencyLimiter(),
+        ConcurrencyLimiter(offers=1, away_us=70_000),
+    )
     told: list[int] = []
     wires.core.settings = replace(wires.core.settings, max_stay_away_us=100_000)
     wires.refused = lambda _ref, away_us: told.append(away_us)  # type: ignore[attr-defined]
@@ -79,7 +83,11 @@
 
 
 def test_a_send_barred_by_a_later_link_is_taken_back_and_another_booker_tried() -> None:
-    wires, first, second = Wires(Script("a", "b"), "a", "b"), Held(), Held(attempts=0)
+    wires, first, second = (
+        Wires(Script("a", "b"), "a", "b"),
+        ConcurrencyLimiter(),
+        ConcurrencyLimiter(attempts=0),
+    )
     chain_of(wires, first, second)
     wires.offer(1)
     assert not wires.sent and wires.said == [("refused", 1)]
--- a/tests/test_core_stateful.py
+++ b/tests/test_core_stateful.py
@@ -20,11 +20,11 @@
     api.Outcome.TURNED_AWAY, api.Outcome.ERROR, api.Outcome.CUT, api.Outcome.NOT_SENT,
     api.Outcome.NO_CONNECTION,
 )  # fmt: skip
-FEW = Limits(calls=6)
+SMALL_LIMITS = Limits(calls=6)
 PICK = st.integers(0, 7)
 
 
-class Rogue:
+class FaultyModule:
     """A module that does anything: sends twice, answers what is over, forgets, raises."""
 
     def __init__(self, seed: int) -> None:
@@ -37,9 +37,9 @@
             self.calls = [*self.calls[-3:], call]
         if self.random.random() < 0.05:
             raise RuntimeError("a fault in a decision")
-        return [self._any(now_us, call) for _ in range(self.random.choice((0, 1, 1, 2, 3)))]
+        return [self._random_action(now_us, call) for _ in range(self.random.choice((0, 1, 1, 2, 3)))]
 
-    def _any(self, now_us: int, call: str) -> api.Action:
+    def _random_action(self, now_us: int, call: str) -> api.Action:
         call = call if call and self.random.random() < 0.7 else self.random.choice(self.calls or ["none"])
         switch = f"s{self.random.randrange(4)}"
         made: list[api.Action] = [
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = CoreWorld(self.module(), FEW)
+        self.world = CoreWorld(self.module(), SMALL_LIMITS)
         self.servers = self.world.servers
 
     def module(self) -> DecisionModule:
@@ -66,21 +66,21 @@
 
     @rule(name=PICK, left_us=st.sampled_from((1, 30 * MS, 400 * MS, 1 * SECOND, 3 * SECOND)), cell=PICK)
     def ask(self, name: int, left_us: int, cell: int) -> None:
-        self.world.ask(f"r{name}", left_us, cell % 3)
+        self.world.send_request(f"r{name}", left_us, cell % 3)
 
     @precondition(lambda self: self.world.owed())
     @rule(pick=PICK, unread=st.booleans())
     def leave(self, pick: int, unread: bool) -> None:
-        one = self.world.owed()[pick % len(self.world.owed())]
-        one.gone = True
+        one = self.world.unanswered()[pick % len(self.world.unanswered())]
+        one.client_left = True
         if not unread:
             self.world.core.withdraw(one.handle)
 
     @precondition(lambda self: any(one.gone for one in self.world.clients.asked))
     @rule()
     def read_that_they_left(self) -> None:
-        for one in self.world.clients.asked:
-            if one.gone:
+        for one in self.world.clients.requests:
+            if one.client_left:
                 self.world.core.withdraw(one.handle)
 
     @precondition(lambda self: self.servers.standing)
@@ -96,7 +96,7 @@
         if comes_up:
             self.servers.write(attempt)
         else:
-            self.servers.end(attempt, api.Outcome.NO_CONNECTION)
+            self.servers.end_attempt(attempt, api.Outcome.NO_CONNECTION)
 
     @precondition(lambda self: self.servers.written)
     @rule(pick=PICK)
@@ -106,23 +106,23 @@
     @precondition(lambda self: self.servers.written)
     @rule(pick=PICK, outcome=st.sampled_from(ENDS))
     def end(self, pick: int, outcome: api.Outcome) -> None:
-        self.servers.end(self.servers.written[pick % len(self.servers.written)], outcome)
+        self.servers.end_attempt(self.servers.written[pick % len(self.servers.written)], outcome)
 
     @precondition(lambda self: self.servers.standing)
     @rule(pick=PICK, outcome=st.sampled_from((api.Outcome.SERVED, api.Outcome.CUT)))
     def end_standing(self, pick: int, outcome: api.Outcome) -> None:
-        self.servers.end(self.servers.standing[pick % len(self.servers.standing)], outcome)
+        self.servers.end_attempt(self.servers.standing[pick % len(self.servers.standing)], outcome)
 
     @rule(name=st.sampled_from(("s0", "s1", "s2")), state=st.sampled_from((READY, READY, DRAINING, GONE)))
     def tell(self, name: str, state: api.SwitchState) -> None:
-        self.world.tell(name, state)
+        self.world.report_server(name, state)
 
     @rule(name=st.sampled_from(("s0", "s1", "s2")))
     def restart(self, name: str) -> None:
-        self.world.tell(name, READY, self.world.hand.time_us)
+        self.world.report_server(name, READY, self.world.hand.time_us)
 
     @rule(name=st.sampled_from(("s0", "s1", "s2")), how=st.sampled_from(("slow", "unreachable", "at hand")))
-    def reach(self, name: str, how: str) -> None:
+    def set_reachability(self, name: str, how: str) -> None:
         self.servers.slow.discard(name)
         self.servers.unreachable.discard(name)
         if how != "at hand":
@@ -146,7 +146,7 @@
         self.world.hand.advance(4 * SECOND)
         self.world.check()
         for attempt in list(self.servers.standing):
-            self.servers.end(attempt, api.Outcome.SERVED)
+            self.servers.end_attempt(attempt, api.Outcome.SERVED)
         self.nothing_is_kept()
 
 
@@ -165,7 +165,7 @@
     """A module that can't be relied on: the rules are the core's."""
 
     def module(self) -> DecisionModule:
-        return Rogue(5)
+        return FaultyModule(5)
 
 
 class RestartedRequests(DecidedRequests):
@@ -175,13 +175,15 @@
     @rule()
     def hang_up(self) -> None:
         self.world.core.hang_up_all(leave_standing=True)
-        assert not self.world.owed()
+        assert not self.world.unanswered()
 
 
-MANY = settings(max_examples=100, stateful_step_count=40, derandomize=True, deadline=None, database=None)
+STATE_MACHINE_SETTINGS = settings(
+    max_examples=100, stateful_step_count=40, derandomize=True, deadline=None, database=None
+)
 TestDecidedRequests = DecidedRequests.TestCase
-TestDecidedRequests.settings = MANY
+TestDecidedRequests.settings = STATE_MACHINE_SETTINGS
 TestRogueRequests = RogueRequests.TestCase
-TestRogueRequests.settings = MANY
+TestRogueRequests.settings = STATE_MACHINE_SETTINGS
 TestRestartedRequests = RestartedRequests.TestCase
-TestRestartedRequests.settings = MANY
+TestRestartedRequests.settings = STATE_MACHINE_SETTINGS
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -18,8 +18,8 @@
 from bitternbeam.net.platform.discovery.connection import DiscoveryConnection
 from bitternbeam.net.platform.discovery.server_list import ServerList
 from bitternbeam.net.platform.discovery.watch import DiscoveryWatch
-from tests.hand_clock import HandClock
 from tests.loop import pause, reactor, until
+from tests.manual_clock import ManualClock
 from tests.test_board import Board, WatchPeer, boards, event
 from tests.world import SETTINGS
 
@@ -35,7 +35,7 @@
     """A watch with a core behind it, on a clock that stands still."""
 
     def __init__(self, address: str, known: dict[str, Any]) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         deadlines, self.counters = self.clock.deadlines, Counters()
         self.core = CallControl(Controller(SETTINGS, 1), SETTINGS, deadlines, LIMITS, self.counters)
         self.back = PlatformBack(reactor, self.core, deadlines, LIMITS, self.counters)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -10,7 +10,7 @@
 from bitternbeam.limits import Limits
 from bitternbeam.wiring.parts import Serving
 from bitternbeam.wiring.shutdown import Lifecycle, Phase, Timetable
-from tests.hand_clock import HandClock
+from tests.manual_clock import ManualClock
 
 MS = 1_000
 
@@ -51,7 +51,7 @@
     """A lifecycle around such parts."""
 
     def __init__(self, *parts: Fake) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.parts = parts or (Fake(),)
         self.life = Lifecycle(list(self.parts), self.clock.deadlines, Limits())
         self.stops = 0
--- a/tests/test_lost_decisions.py
+++ b/tests/test_lost_decisions.py
@@ -29,8 +29,8 @@
 def test_a_request_that_ends_at_the_shutdown_while_it_waits_for_a_release_is_forgotten() -> None:
     # Its timer sent it on in the module alone, which took the server to have one out for ever.
     world, module = decided()
-    one = world.ask("r0")
-    world.servers.end(world.servers.written[0], api.Outcome.CUT)
+    one = world.send_request("r0")
+    world.servers.end_attempt(world.servers.written[0], api.Outcome.CUT)
     world.core.hang_up_all(leave_standing=True)
     assert one.answers == ["refused"]
     world.hand.advance(SECOND)
@@ -48,8 +48,8 @@
 def test_a_request_that_its_retry_budget_ends_is_forgotten() -> None:
     world, module = decided()
     world.core.limiter = Spent()
-    one = world.ask("r0")
-    world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
+    one = world.send_request("r0")
+    world.servers.end_attempt(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert one.answers == ["refused"]
     nothing_is_kept(world, module)
 
@@ -61,9 +61,9 @@
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         actions = super().handle(now_us, event)
-        if isinstance(event, api.AttemptEnded) and not event.finished and self.world.owed():
-            one = self.world.owed()[0]
-            one.gone = True
+        if isinstance(event, api.AttemptEnded) and not event.finished and self.world.unanswered():
+            one = self.world.unanswered()[0]
+            one.client_left = True
             self.world.core.withdraw(one.handle)
         return actions
 
@@ -72,8 +72,8 @@
     # The module had it as out for ever: a server that was suspected then got no trial any more.
     module = Crossing(SETTINGS, 3)
     world = module.world = CoreWorld(module)
-    world.ask("r0")
-    world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
+    world.send_request("r0")
+    world.servers.end_attempt(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert world.counters["module.too_late"] == 1
     nothing_is_kept(world, module)
 
@@ -88,7 +88,7 @@
 
     world = CoreWorld(Both(SETTINGS, 3))
     monkeypatch.setattr("bitternbeam.core.control.log.info", lambda *_args: 1 // 0)
-    one = world.ask("r0")
+    one = world.send_request("r0")
     assert one.answers == ["refused"] and world.counters["module.actions_failed"] == 1
 
 
@@ -110,9 +110,9 @@
     fails_on: type[api.Event] | None, outcome: api.Outcome | None
 ) -> None:
     world = CoreWorld(Forgetful(fails_on))
-    one = world.ask("r0", left_us=700 * MS)
+    one = world.send_request("r0", left_us=700 * MS)
     if outcome:
-        world.servers.end(world.servers.written[0], outcome)
+        world.servers.end_attempt(world.servers.written[0], outcome)
     world.hand.advance(700 * MS - world.core.limits.answer_margin_us)
     assert one.answers == ["failed"] and not world.core.calls
 
@@ -121,11 +121,11 @@
 def test_an_id_that_comes_again_waits_out_the_release_that_is_in_doubt(wait_us: int) -> None:
     # It was sent at once: under one id, two attempts were out.
     world, module = decided()
-    first = world.ask("r0")
-    first.gone = True
+    first = world.send_request("r0")
+    first.client_left = True
     world.core.withdraw(first.handle)
     world.hand.advance(wait_us)
-    again = world.ask("r0")
+    again = world.send_request("r0")
     assert not world.servers.written and not again.answers
     world.hand.advance(300 * MS - wait_us - 1)
     assert not world.servers.written
@@ -133,16 +133,16 @@
     assert len(world.servers.written) == 1 and world.counters["calls.held_as_repeats"] == 1
     world.servers.answer(world.servers.written[0])
     assert again.answers == ["stands"]
-    world.servers.end(world.servers.standing[0], api.Outcome.SERVED)
+    world.servers.end_attempt(world.servers.standing[0], api.Outcome.SERVED)
     nothing_is_kept(world, module)
 
 
 def test_an_id_that_comes_again_with_less_time_than_the_release_takes_is_answered_in_it() -> None:
     world, module = decided()
-    first = world.ask("r0")
-    first.gone = True
+    first = world.send_request("r0")
+    first.client_left = True
     world.core.withdraw(first.handle)
-    again = world.ask("r0", left_us=200 * MS)
+    again = world.send_request("r0", left_us=200 * MS)
     world.hand.advance(200 * MS)
     assert again.answers == ["failed"]
     world.hand.advance(SECOND)
@@ -153,10 +153,10 @@
 def test_a_full_table_of_requests_answers_the_next_one() -> None:
     world, module = decided()
     world.core.calls.size = 1
-    world.ask("r0")
-    second = world.ask("r1")
+    world.send_request("r0")
+    second = world.send_request("r1")
     assert second.answers == ["refused"] and not second.handle
-    world.servers.end(world.servers.written[0], api.Outcome.TURNED_AWAY)
+    world.servers.end_attempt(world.servers.written[0], api.Outcome.TURNED_AWAY)
     assert len(world.servers.written) == 1  # the first goes on
     world.hand.advance(4 * SECOND)
     nothing_is_kept(world, module)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,8 +21,8 @@
 from bitternbeam.wiring.parts import Common
 from bitternbeam.wiring.platform import PlatformPart
 from bitternbeam.wiring.shutdown import Lifecycle, Phase
-from tests.hand_clock import HandClock
 from tests.loop import pause, reactor, until
+from tests.manual_clock import ManualClock
 from tests.test_admin import free_port
 from tests.test_board import Board, boards, event
 from tests.test_daemon import configuration, one_booker, start
@@ -91,7 +91,7 @@
         if inherited is not None:
             environment["GW_INHERITED_FD"] = str(inherited)
         config = read_config(environment)
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.counters = Counters()
         self.part = PlatformPart(Common(reactor, config, self.clock.deadlines, config.limits, self.counters))
         self.life = Lifecycle([self.part], self.clock.deadlines, config.limits)
--- a/tests/test_upstream_descriptors.py
+++ b/tests/test_upstream_descriptors.py
@@ -16,8 +16,8 @@
 from bitternbeam.limits import Limits
 from bitternbeam.net.connect import listen
 from bitternbeam.net.platform.back import BookerEndpoint, PlatformBack
-from tests.hand_clock import HandClock
 from tests.loop import pause, reactor, until
+from tests.manual_clock import ManualClock
 from tests.test_platform import ID, Peer
 
 
@@ -52,7 +52,7 @@
 
     def __init__(self, **limits: int) -> None:
         self.limits = Limits(**limits)
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.core = RecordingCore()
         self.counters = Counters()
         core: Any = self.core
