--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -10,7 +10,7 @@
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
 from bitternbeam.limits import Limits
-from tests.hand_clock import HandClock
+from tests.manual_clock import ManualClock
 from tests.world import MS, SECOND, SETTINGS
 
 READY = api.SwitchState.READY
@@ -18,13 +18,13 @@
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     """A client's request as the test follows it."""
 
     uid: str
     end_us: int  # the client's deadline
     handle: int = 0
-    gone: bool = False  # the client has left
+    client_left: bool = False  # the client has left
     answers: list[str] = field(default_factory=list)
     over: bool = False  # the established call was released
 
@@ -44,14 +44,14 @@
     def __init__(self, hand: HandClock, broken: Broken) -> None:
         """Start without requests."""
         self.hand = hand
-        self.broken = broken
-        self.asked: list[Asked] = []
+        self.violations = broken
+        self.requests: list[ClientRequest] = []
 
     def _answer(self, ref: int, what: str) -> None:
-        one = self.asked[ref]
-        one.answers.append(what)
-        self.broken.unless(len(one.answers) == 1, f"{one.uid}: {one.answers}")
-        self.broken.unless(self.hand.time_us <= one.end_us, f"{one.uid}: late")
+        request = self.requests[ref]
+        request.answers.append(what)
+        self.violations.expect(len(request.answers) == 1, f"{request.uid}: {request.answers}")
+        self.violations.expect(self.hand.time_us <= request.deadline_us, f"{request.uid}: late")
 
     def send_answer(self, ref: int, body: object) -> None:
         """Record an answer."""
@@ -85,7 +85,7 @@
     def __init__(self, hand: HandClock, broken: Broken) -> None:
         """Start with every server connected."""
         self.hand = hand
-        self.broken = broken
+        self.violations = broken
         self.waiting: list[Attempt] = []
         self.written: list[Attempt] = []
         self.standing: list[Attempt] = []
@@ -111,14 +111,14 @@
         if not self.core.may_write(attempt):
             self.core.attempt_ended(attempt, AttemptEnd(api.Outcome.NOT_SENT))
             return
-        uid, unless = attempt.offer.uid, self.broken.unless
+        uid, unless = attempt.offer.uid, self.violations.expect
         self.core.attempt_written(attempt)
         out = [one for one in self.written + self.standing if one.offer.uid == uid]
         unless(not out, f"{uid}: two out")
         unless(self.hand.time_us >= self.held.get(uid, 0), f"{uid}: its release is in doubt")
         ready = self.core.listing.states.get(attempt.booker) is READY
         unless(ready, f"{uid}: to one that is not ready")
-        unless(not self.clients.asked[attempt.offer.ref].gone, f"{uid}: its client has left")
+        unless(not self.clients.requests[attempt.offer.ref].client_left, f"{uid}: its client has left")
         self.written.append(attempt)
 
     def end(self, attempt: Attempt, outcome: api.Outcome) -> None:
@@ -157,31 +157,31 @@
 
     def __init__(self, module: DecisionModule, limits: Limits | None = None) -> None:
         """List three servers."""
-        self.hand = HandClock()
+        self.hand = ManualClock()
         self.deadlines = self.hand.deadlines
-        self.broken = Broken()
-        self.clients, self.servers = Clients(self.hand, self.broken), Servers(self.hand, self.broken)
+        self.violations = Violations()
+        self.clients, self.servers = Clients(self.hand, self.violations), Servers(self.hand, self.violations)
         self.counters = Counters()
         self.core = CallControl(module, SETTINGS, self.deadlines, limits or Limits(), self.counters)
         self.core.attach(self.servers)
         self.servers.core, self.servers.clients = self.core, self.clients
         self.names = ("s0", "s1", "s2")
         for name in self.names:
-            self.tell(name, READY)
+            self.report_server(name, READY)
 
     def tell(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
         """Report the state of a server."""
         entry = api.SwitchEntry(name, self.names.index(name), state, started_us)
         self.core.update_bookers(api.ListKind.CHANGES, (entry,))
 
-    def ask(self, uid: str, left_us: int = 3 * SECOND, cell: int = 0) -> Asked:
+    def send_request(self, uid: str, left_us: int = 3 * SECOND, cell: int = 0) -> ClientRequest:
         """Offer a request."""
-        one = Asked(uid, self.hand.time_us + left_us)
-        self.clients.asked.append(one)
-        ref = len(self.clients.asked) - 1
+        request = ClientRequest(uid, self.hand.time_us + left_us)
+        self.clients.requests.append(request)
+        ref = len(self.clients.requests) - 1
         offer = Offer(uid, "low", cell, left_us, self.hand.time_us, f"n{ref}", "v=0", ref)
-        one.handle = self.core.offer(self.clients, offer)
-        return one
+        request.handle = self.core.offer(self.clients, offer)
+        return request
 
     def owed(self) -> list[Asked]:
         """Return the requests that have no answer yet and whose client still waits."""
@@ -191,5 +191,5 @@
         """Assert that no rule was broken and no request has passed its deadline unanswered."""
         assert not self.broken and not self.counters["module.actions_failed"], self.broken
         margin_us = 1 * MS
-        late = [one.uid for one in self.owed() if one.end_us + margin_us < self.hand.time_us]
+        late = [one.uid for one in self.unanswered() if one.deadline_us + margin_us < self.hand.time_us]
         assert not late, f"no answer: {late}"
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -43,7 +43,7 @@
         self.held[""] -= 1
 
 
-def chain_of(wires: Wires, *links: Held) -> None:
+def chain_of(wires: Wires, *links: ConcurrencyLimiter) -> None:
     wires.core.limiter = LimiterChain([wires.bounds, *links])
 
 
