--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -22,17 +22,17 @@
     """A client's request as the test follows it."""
 
     uid: str
-    end_us: int  # the client's deadline
+    deadline_us: int  # the client's deadline
     handle: int = 0
     client_left: bool = False  # the client has left
     answers: list[str] = field(default_factory=list)
-    over: bool = False  # the established call was released
+    released: bool = False  # the established call was released
 
 
-class Broken(list[str]):
+class Violations(list[str]):
     """Broken rules, collected because the core would catch and log an exception raised here."""
 
-    def unless(self, holds: object, what: str) -> None:
+    def expect(self, holds: object, what: str) -> None:
         """Record a broken rule unless the condition holds."""
         if not holds:
             self.append(what)
@@ -41,7 +41,7 @@
 class Clients:
     """A frontend that checks each answer."""
 
-    def __init__(self, hand: HandClock, broken: Broken) -> None:
+    def __init__(self, hand: ManualClock, broken: Violations) -> None:
         """Start without requests."""
         self.hand = hand
         self.violations = broken
@@ -70,19 +70,21 @@
 
     def send_release(self, ref: int, outcome: api.Outcome) -> None:
         """Record a release, which ends an established call once."""
-        one = self.asked[ref]
-        self.broken.unless(one.answers == ["stands"] and not one.over, f"{one.uid}: released")
-        one.over = True
+        request = self.requests[ref]
+        self.violations.expect(
+            request.answers == ["stands"] and not request.released, f"{request.uid}: released"
+        )
+        request.released = True
 
     def is_client_waiting(self, ref: int) -> bool:
         """Return whether the client is still connected."""
-        return not self.asked[ref].gone
+        return not self.requests[ref].client_left
 
 
 class Servers:
     """A backend whose attempts wait for a connection until the test writes them; it checks each write."""
 
-    def __init__(self, hand: HandClock, broken: Broken) -> None:
+    def __init__(self, hand: ManualClock, broken: Violations) -> None:
         """Start with every server connected."""
         self.hand = hand
         self.violations = broken
@@ -121,7 +123,7 @@
         unless(not self.clients.requests[attempt.offer.ref].client_left, f"{uid}: its client has left")
         self.written.append(attempt)
 
-    def end(self, attempt: Attempt, outcome: api.Outcome) -> None:
+    def end_attempt(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """End an attempt in flight or an established call."""
         self._over(attempt, outcome)
         self.core.attempt_ended(attempt, AttemptEnd(outcome))
@@ -169,7 +171,7 @@
         for name in self.names:
             self.report_server(name, READY)
 
-    def tell(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
+    def report_server(self, name: str, state: api.SwitchState, started_us: int = 0) -> None:
         """Report the state of a server."""
         entry = api.SwitchEntry(name, self.names.index(name), state, started_us)
         self.core.update_bookers(api.ListKind.CHANGES, (entry,))
@@ -183,13 +185,13 @@
         request.handle = self.core.offer(self.clients, offer)
         return request
 
-    def owed(self) -> list[Asked]:
+    def unanswered(self) -> list[ClientRequest]:
         """Return the requests that have no answer yet and whose client still waits."""
-        return [one for one in self.clients.asked if not one.answers and not one.gone]
+        return [one for one in self.clients.requests if not one.answers and not one.client_left]
 
     def check(self) -> None:
         """Assert that no rule was broken and no request has passed its deadline unanswered."""
-        assert not self.broken and not self.counters["module.actions_failed"], self.broken
+        assert not self.violations and not self.counters["module.actions_failed"], self.violations
         margin_us = 1 * MS
         late = [one.uid for one in self.unanswered() if one.deadline_us + margin_us < self.hand.time_us]
         assert not late, f"no answer: {late}"
--- a/tests/manual_clock.py
+++ b/tests/manual_clock.py
@@ -7,7 +7,7 @@
 from bitternbeam.tables.deadlines import Deadlines
 
 
-class HandClock:
+class ManualClock:
     """A manual time source for Deadlines, in microseconds."""
 
     def __init__(self, now_us: int = 1_000_000_000) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -14,7 +14,7 @@
 from tests.test_fleet_load import Script, Wires
 
 
-class Held(UnlimitedTraffic):
+class ConcurrencyLimiter(UnlimitedTraffic):
     """A limiter of concurrent offers and of concurrent attempts at each booker."""
 
     def __init__(self, offers: int = 9, attempts: int = 9, away_us: int = 0) -> None:
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("outcome", [one for one in api.Outcome if one is not api.Outcome.NOT_SENT])
 @pytest.mark.parametrize("stands", [False, True])
 def test_what_a_call_acquired_is_released_once(outcome: api.Outcome, stands: bool) -> None:
-    wires, first, second = Wires(Script("a"), "a"), Held(), Held()
+    wires, first, second = Wires(Script("a"), "a"), ConcurrencyLimiter(), ConcurrencyLimiter()
     chain_of(wires, first, second)
     wires.offer(1)
     if stands:
@@ -67,7 +67,11 @@
 
 
 def test_the_first_refusal_and_its_delay_count_and_nothing_stays_acquired() -> None:
-    wires, first, second = Wires(Script("a"), "a"), Held(), Held(offers=1, away_us=70_000)
+    wires, first, second = (
+        Wires(Script("a"), "a"),
+        ConcurrencyLimiter(),
+        ConcurrencyLimiter(offers=1, away_us=70_000),
+    )
     told: list[int] = []
     wires.core.settings = replace(wires.core.settings, max_stay_away_us=100_000)
     wires.send_refusal = lambda _ref, away_us: told.append(away_us)  # type: ignore[attr-defined]
@@ -79,7 +83,11 @@
 
 
 def test_a_send_refused_by_a_later_limiter_is_undone_and_another_booker_tried() -> None:
-    wires, first, second = Wires(Script("a", "b"), "a", "b"), Held(), Held(attempts=0)
+    wires, first, second = (
+        Wires(Script("a", "b"), "a", "b"),
+        ConcurrencyLimiter(),
+        ConcurrencyLimiter(attempts=0),
+    )
     chain_of(wires, first, second)
     wires.offer(1)
     assert not wires.sent and wires.said == [("send_refusal", 1)]
--- a/tests/test_core_stateful.py
+++ b/tests/test_core_stateful.py
@@ -24,7 +24,7 @@
 PICK = st.integers(0, 7)
 
 
-class Rogue:
+class FaultyModule:
     """A faulty decision module: it sends twice, answers ended calls, forgets calls and raises exceptions."""
 
     def __init__(self, seed: int) -> None:
@@ -68,7 +68,7 @@
     def ask(self, name: int, left_us: int, cell: int) -> None:
         self.world.send_request(f"r{name}", left_us, cell % 3)
 
-    @precondition(lambda self: self.world.owed())
+    @precondition(lambda self: self.world.unanswered())
     @rule(pick=PICK, unread=st.booleans())
     def leave(self, pick: int, unread: bool) -> None:
         one = self.world.unanswered()[pick % len(self.world.unanswered())]
@@ -76,11 +76,11 @@
         if not unread:
             self.world.core.withdraw(one.handle)
 
-    @precondition(lambda self: any(one.gone for one in self.world.clients.asked))
+    @precondition(lambda self: any(one.client_left for one in self.world.clients.requests))
     @rule()
     def process_departures(self) -> None:
-        for one in self.world.clients.asked:
-            if one.gone:
+        for one in self.world.clients.requests:
+            if one.client_left:
                 self.world.core.withdraw(one.handle)
 
     @precondition(lambda self: self.servers.standing)
@@ -146,7 +146,7 @@
         self.world.hand.advance(4 * SECOND)
         self.world.check()
         for attempt in list(self.servers.standing):
-            self.servers.end(attempt, api.Outcome.SERVED)
+            self.servers.end_attempt(attempt, api.Outcome.SERVED)
         self.assert_nothing_is_kept()
 
 
