--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Several bounds asked as one by the core: what one takes comes back once, whatever becomes of the call."""
+"""Several limiters in a chain: whatever one acquires is released exactly once, however the call ends."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.test_fleet_load import Script, Wires
 
 
-class Held(UnlimitedTraffic):
-    """Amounts at once: of offers, and of attempts at each booker."""
+class ConcurrencyLimiter(UnlimitedTraffic):
+    """A limiter of concurrent offers and of concurrent attempts at each booker."""
 
     def __init__(self, offers: int = 9, attempts: int = 9, away_us: int = 0) -> None:
         self.offers, self.attempts, self.away_us = offers, attempts, away_us
@@ -43,14 +43,14 @@
         self.held[""] -= 1
 
 
-def chain_of(wires: Wires, *links: Held) -> None:
+def chain_of(wires: Wires, *links: ConcurrencyLimiter) -> None:
     wires.core.limiter = LimiterChain([wires.bounds, *links])
 
 
 @pytest.mark.parametrize("outcome", [one for one in api.Outcome if one is not api.Outcome.NOT_SENT])
 @pytest.mark.parametrize("stands", [False, True])
-def test_what_a_call_holds_comes_back_once(outcome: api.Outcome, stands: bool) -> None:
-    wires, first, second = Wires(Script("a"), "a"), Held(), Held()
+def test_what_a_call_acquired_is_released_once(outcome: api.Outcome, stands: bool) -> None:
+    wires, first, second = Wires(Script("a"), "a"), ConcurrencyLimiter(), ConcurrencyLimiter()
     chain_of(wires, first, second)
     wires.offer(1)
     if stands:
@@ -60,17 +60,21 @@
     ended = wires.now()
     wires.core.attempt_ended(wires.sent[-1], AttemptEnd(outcome))
     doubtful = outcome in (api.Outcome.NO_ANSWER, api.Outcome.CUT, api.Outcome.CALLED_OFF)
-    assert bool(first.held["a"]) is doubtful  # the booker may hold it until a release has had its time
+    assert bool(first.held["a"]) is doubtful  # the booker may hold it until the release is surely done
     until(lambda: not first.held["a"] and not first.held[""])
     assert doubtful is (wires.now() - ended >= wires.core.settings.release_wait_us)
     assert first.held == second.held == {"": 0, "a": 0}
 
 
-def test_the_first_refusal_stands_with_its_wait_and_nothing_stays_taken() -> None:
-    wires, first, second = Wires(Script("a"), "a"), Held(), Held(offers=1, away_us=70_000)
+def test_the_first_refusal_and_its_delay_count_and_nothing_stays_acquired() -> None:
+    wires, first, second = (
+        Wires(Script("a"), "a"),
+        ConcurrencyLimiter(),
+        ConcurrencyLimiter(offers=1, away_us=70_000),
+    )
     told: list[int] = []
     wires.core.settings = replace(wires.core.settings, max_stay_away_us=100_000)
-    wires.refused = lambda _ref, away_us: told.append(away_us)  # type: ignore[attr-defined]
+    wires.send_refusal = lambda _ref, away_us: told.append(away_us)  # type: ignore[attr-defined]
     chain_of(wires, first, second)
     wires.offer(1)
     wires.offer(2)
@@ -78,11 +82,15 @@
     assert first.held == second.held == {"": 1, "a": 1}
 
 
-def test_a_send_barred_by_a_later_link_is_taken_back_and_another_booker_tried() -> None:
-    wires, first, second = Wires(Script("a", "b"), "a", "b"), Held(), Held(attempts=0)
+def test_a_send_refused_by_a_later_limiter_is_undone_and_another_booker_tried() -> None:
+    wires, first, second = (
+        Wires(Script("a", "b"), "a", "b"),
+        ConcurrencyLimiter(),
+        ConcurrencyLimiter(attempts=0),
+    )
     chain_of(wires, first, second)
     wires.offer(1)
-    assert not wires.sent and wires.said == [("refused", 1)]
+    assert not wires.sent and wires.said == [("send_refusal", 1)]
     assert first.held == {"": 0, "a": 0, "b": 0}
     assert wires.bounds.report(wires.now()).bookers == {}  # nothing counts as sent
     second.attempts = 1
