--- a/bitternbeam/net/platform/__init__.py
+++ b/bitternbeam/net/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: JSON lines to callers and bookers, and the notice board."""
+"""The platform's protocol: JSON lines to clients and bookers (upstream servers), and discovery."""
--- a/bitternbeam/net/platform/back.py
+++ b/bitternbeam/net/platform/back.py
@@ -1,4 +1,4 @@
-"""Bookers on the platform's protocol: one pool of connections a booker."""
+"""The upstream side of the platform's protocol: one connection pool per booker."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlatformBack:
-    """The pools of all bookers. It is the core's Back."""
+    """The connection pools of all bookers; implements the core's `Back`."""
 
     def __init__(
         self, reactor: Any, core: CallControl, deadlines: Deadlines, limits: Limits, counters: Counters
@@ -36,9 +36,7 @@
         self.deadlines = deadlines
         self.limits = limits
         self.pools: dict[str, BookerPool] = {}
-        self.requests: dict[
-            str, UpstreamRequest
-        ] = {}  # of all pools, those of bookers that have gone included
+        self.requests: dict[str, UpstreamRequest] = {}  # of all pools, including those being drained
         self._check_pools()
 
     def _check_pools(self) -> None:
@@ -47,48 +45,49 @@
         self.deadlines.after(self.limits.booker_retry_us, self._check_pools)
 
     def update_endpoints(self, endpoints: list[BookerEndpoint], complete: bool) -> None:
-        """Take news of where the bookers are; a whole list leaves out those that are gone.
+        """Apply a change of the booker list; bookers that a complete list leaves out are removed.
 
-        What must end ends last: a request goes on at once, and has to find every pool as it is listed now.
+        Attempts are ended after all pools are updated: the core retries a failed call at once, and every
+        pool must then reflect the new list.
         """
-        gone: list[BookerPool] = []
+        removed: list[BookerPool] = []
         if complete:
-            for name in self.pools.keys() - {place.booker for place in endpoints}:
-                self._retire(self.pools[name], gone)
-        for place in endpoints:
-            pool = self.pools.get(place.booker)
-            if place.state is SwitchState.GONE:
+            for name in self.pools.keys() - {endpoint.booker for endpoint in endpoints}:
+                self._retire(self.pools[name], removed)
+        for endpoint in endpoints:
+            pool = self.pools.get(endpoint.booker)
+            if endpoint.state is SwitchState.GONE:
                 if pool:
-                    self._retire(pool, gone)
+                    self._retire(pool, removed)
                 continue
             if pool is None or pool.retired or pool.closed:
-                pool = self.pools[place.booker] = self._new_pool(place)
-            elif (place.host, place.port) != (pool.endpoint.host, pool.endpoint.port):
-                self._retire(pool, gone)
-                pool = self.pools[place.booker] = self._new_pool(place)
-            if place.started_us > pool.endpoint.started_us:
-                pool.requests.cut_sent_before(place.started_us)
-            pool.endpoint = place
+                pool = self.pools[endpoint.booker] = self._new_pool(endpoint)
+            elif (endpoint.host, endpoint.port) != (pool.endpoint.host, pool.endpoint.port):
+                self._retire(pool, removed)
+                pool = self.pools[endpoint.booker] = self._new_pool(endpoint)
+            if endpoint.started_us > pool.endpoint.started_us:
+                pool.requests.cut_sent_before(endpoint.started_us)
+            pool.endpoint = endpoint
             self.descriptor_quota.server_count = len(self.pools)
             if not pool.connections:
                 pool.connect()
-        for pool in gone:
+        for pool in removed:
             self._drain_pool(pool)
-        for place in endpoints:
-            if pool := self.pools.get(place.booker):
+        for endpoint in endpoints:
+            if pool := self.pools.get(endpoint.booker):
                 pool.requests.recheck_waiting()
 
-    def _new_pool(self, place: BookerEndpoint) -> BookerPool:
-        return BookerPool(self.context, place, UpstreamRequests(self.context, self.requests))
+    def _new_pool(self, endpoint: BookerEndpoint) -> BookerPool:
+        return BookerPool(self.context, endpoint, UpstreamRequests(self.context, self.requests))
 
-    def _retire(self, pool: BookerPool, gone: list[BookerPool]) -> None:
-        """Send nothing more to a booker that has gone, or whose address is another now."""
+    def _retire(self, pool: BookerPool, removed: list[BookerPool]) -> None:
+        """Send nothing more to a booker that was removed or whose address changed."""
         if not pool.retired:
             pool.retired = True
-            gone.append(pool)
+            removed.append(pool)
 
     def _drain_pool(self, pool: BookerPool) -> None:
-        """Keep a booker that has gone only while its connection lasts: calls on it are still told of."""
+        """Keep a removed booker's connections for a while, so that releases of its calls still arrive."""
         pool.requests.finish_waiting(Outcome.NOT_SENT)
         if not pool.connections:
             pool.requests.cut_all()
@@ -102,14 +101,14 @@
             del self.pools[pool.name]
 
     def close_all(self) -> None:
-        """Close every connection once what was written has left."""
+        """Close every connection after its output is flushed."""
         for pool in self.pools.values():
             pool.close()
 
-    # The core's Back.
+    # Methods of the core's `Back`.
 
     def set_up(self, attempt: Attempt) -> None:
-        """Send a set-up."""
+        """Send a set-up; without a usable pool the attempt ends with NO_CONNECTION at once."""
         pool = self.pools.get(attempt.booker)
         if pool is None or pool.closed or pool.retired:
             self.core.ended(attempt, End(Outcome.NO_CONNECTION))
@@ -117,17 +116,17 @@
         pool.set_up(attempt)
 
     def probe(self, booker: str) -> None:
-        """Ask a booker for a report."""
+        """Ask a booker for a load report."""
         if pool := self.pools.get(booker):
             pool.probe()
 
     def give_up(self, attempt: Attempt) -> bool:
-        """Stop waiting for a set-up."""
-        if leg := self.requests.get(attempt.offer.uid):
-            leg.owner.cancel(leg, unanswered=attempt.given_up is Outcome.NO_ANSWER)
+        """Stop waiting for the answer to a set-up."""
+        if request := self.requests.get(attempt.offer.uid):
+            request.owner.cancel(request, unanswered=attempt.given_up is Outcome.NO_ANSWER)
         return True
 
     def release(self, attempt: Attempt) -> None:
-        """End a call that stands."""
-        if leg := self.requests.get(attempt.offer.uid):
-            leg.owner.cancel(leg)
+        """Release an established call."""
+        if request := self.requests.get(attempt.offer.uid):
+            request.owner.cancel(request)
--- a/bitternbeam/net/platform/booker_connection.py
+++ b/bitternbeam/net/platform/booker_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a booker, and the attempts that wait on it."""
+"""One connection to a booker, and the attempts pending on it."""
 
 from __future__ import annotations
 
@@ -17,51 +17,51 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_ID = "0" * 16  # the id of a test, which names no call
-PROBE_ID = "0" * 15 + "1"  # the id of a probe: a test with cause 1, whose answer carries a report
+HEARTBEAT_ID = "0" * 16  # the id in heartbeats, which belong to no call
+PROBE_ID = "0" * 15 + "1"  # the id in probes: checks with cause 1, whose answer carries a load report
 
 
 class ConnectionOwner(Protocol):
-    """Who holds a booker's connections: it hears what comes on them."""
+    """The pool that owns a connection and handles its messages."""
 
     context: UpstreamContext
 
     def connection_lost(self, connection: BookerConnection) -> None:
-        """Take a connection out that has ended."""
+        """Remove a connection that has ended."""
         ...
 
     def data_received(self, connection: BookerConnection) -> None:
-        """Note that something comes on a connection."""
+        """Note that data was received on a connection."""
         ...
 
     def call_accepted(self, connection: BookerConnection, message: Message) -> None:
-        """Take an answer."""
+        """Handle a booker's acceptance of a set-up."""
         ...
 
     def call_stopped(self, connection: BookerConnection, message: Message) -> None:
-        """Take a refusal or a release."""
+        """Handle a refusal of a set-up or the release of a call."""
         ...
 
     def load_reported(self, connection: BookerConnection, report: Report) -> None:
-        """Take the state of the booker's lines that came unasked."""
+        """Handle an unsolicited load report."""
         ...
 
     def probe_answered(self, report: Report | None) -> None:
-        """Take the answer to a probe."""
+        """Handle the answer to a probe; the report is None if it could not be parsed."""
         ...
 
-    def cancel(self, leg: UpstreamRequest, unanswered: bool = False) -> None:
-        """Give a set-up up, or release a call."""
+    def cancel(self, request: UpstreamRequest, unanswered: bool = False) -> None:
+        """Cancel a set-up, or release a call."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamRequest:
-    """An attempt as its pool sees it."""
+    """An attempt and the connection it was sent on."""
 
     attempt: Attempt
     owner: ConnectionOwner
-    connection: BookerConnection | None = None  # None: waits for one
+    connection: BookerConnection | None = None  # None: waiting for a connection
     established: bool = False
 
 
@@ -69,75 +69,75 @@
     """One connection to a booker."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        around = owner.context
-        super().__init__("booker", around.deadlines, around.limits, around.counters)
+        context = owner.context
+        super().__init__("booker", context.deadlines, context.limits, context.counters)
         self.owner = owner
-        self.pending: dict[str, UpstreamRequest] = {}  # set-ups that wait for their answer here, oldest first
-        self.last_received_us = around.deadlines.now_us()
+        self.pending: dict[str, UpstreamRequest] = {}  # sent here and not answered yet, oldest first
+        self.last_received_us = context.deadlines.now_us()
         self.has_received = False
         self.heartbeat_sent_us = 0
-        self.bytes_since_half_close: int | None = None  # read since our side was closed; None: it is open
+        self.bytes_since_half_close: int | None = None  # None: not half-closed
 
     @property
     def has_unsent_output(self) -> bool:
-        """Whether the peer has not taken yet what was written in an earlier turn."""
+        """Whether output of an earlier turn of the event loop is still in the transport's buffer."""
         return bool(len(self.transport.dataBuffer) > self.transport.offset)
 
     def send_now(self, message: Message) -> None:
-        """Send a message within this turn of the loop, which may be long.
+        """Send a message in this turn of the event loop.
 
-        Danger: a transport sends in the loop's next turn. What the message says of the time left, and that
-        its client still waits, is true now. An error is left for the reactor to find.
+        Twisted's transports write in the next turn, and this one may be long; the message's time left, and
+        the check that its client still waits, hold only now. A write error is left for the reactor to find.
         """
         self.send(message)
         if self.transport.connected:
             self.transport.doWrite()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the holder."""
+        """Release the descriptor and notify the pool."""
         super().connectionLost(reason)
         self.owner.context.descriptor_quota.release()
         self.owner.connection_lost(self)
 
-    def drop(self, why: str) -> None:
-        """End the connection and what waits on it, which can't be answered any more; nobody is there."""
+    def drop(self, cause: str) -> None:
+        """Abort the connection and fail what is pending on it."""
         if self.is_open:
-            super().drop(why)
+            super().drop(cause)
             self.owner.connection_lost(self)
 
     def send_heartbeat(self) -> None:
-        """Ask for a sign of life; a booker passes a test at once."""
+        """Send a heartbeat; a live booker answers it at once."""
         self.heartbeat_sent_us = self.deadlines.now_us()
         self.send({"kind": "check", "uid": HEARTBEAT_ID, "meta": {}, "reason": 0})
 
     def send_probe(self) -> None:
-        """Ask for a report."""
+        """Ask for a load report."""
         self.send({"kind": "check", "uid": PROBE_ID, "meta": {}, "reason": 1})
 
-    def half_close(self, why: str) -> None:
-        """Close our side of the connection, end what waits on it, and read what still comes for a while.
+    def half_close(self, cause: str) -> None:
+        """Close the write side, fail what is pending, and go on reading for `booker_aside_us`.
 
-        Danger: releases of calls that stand may be on their way, or lie unread behind a line that can't be
-        read. After a reset of ours they do not come again: the calls would stand for ever.
+        Releases of established calls may be on their way, or unread behind a malformed line. The booker does
+        not repeat them after a reset from our side, and their calls would never end.
         """
         if not self.is_open or self.bytes_since_half_close is not None:
             return
         self.bytes_since_half_close = 0
-        self.counters.add(f"{self.name}.parted.{why}")
+        self.counters.add(f"{self.name}.parted.{cause}")
         self.owner.connection_lost(self)
         self.transport.loseWriteConnection()
-        self.deadlines.after(self.limits.booker_aside_us, lambda: self.drop(why))
+        self.deadlines.after(self.limits.booker_aside_us, lambda: self.drop(cause))
 
     def invalid_line_received(self, line: bytes) -> None:
-        """Take a line that is no JSON object: the next one may be a release."""
+        """Half-close on a line that is no JSON object: the next line may be a release."""
         self.half_close("bad_line")
 
     def dataReceived(self, data: bytes) -> None:
-        """Note that the booker is heard."""
+        """Record the time of receipt; limit what is read after a half-close."""
         if self.bytes_since_half_close is not None:
             self.bytes_since_half_close += len(data)
             if self.bytes_since_half_close > self.limits.line_bytes:
-                self.drop("nonsense")  # more than releases take: it is read no further
+                self.drop("nonsense")  # more than releases would take
                 return
         self.last_received_us = self.deadlines.now_us()
         self.has_received = True
@@ -145,18 +145,19 @@
         super().dataReceived(data)
 
     def message_received(self, message: Message) -> None:
-        """Take a message.
+        """Handle a message; exceptions are logged and counted.
 
-        Danger: an error raised here closes the connection, with the answers behind it and every set-up on it.
+        An exception that reached Twisted would close the connection, losing the answers behind this message
+        and every set-up pending on it.
         """
         try:
             self._dispatch(message)
         except Exception:
             self.counters.add("booker.faults")
-            log.exception("taking a server's %.20s failed", message.get("kind"))
+            log.exception("failed to handle a %.20s message from a server", message.get("kind"))
 
     def _dispatch(self, message: Message) -> None:
-        """Sort a message by its kind."""
+        """Pass a message on by its kind."""
         kind = message.get("kind")
         if kind == "stop":
             self.owner.call_stopped(self, message)
--- a/bitternbeam/net/platform/booker_pool.py
+++ b/bitternbeam/net/platform/booker_pool.py
@@ -1,4 +1,4 @@
-"""What is open to one booker: set-ups, answers, refusals and releases on its connections."""
+"""One booker's connection pool: sends set-ups and handles answers, refusals, releases and load reports."""
 
 from __future__ import annotations
 
@@ -30,14 +30,16 @@
 
 
 class BookerPool(ConnectionPool):
-    """One booker's attempts, on the connections that are open to it."""
+    """The attempts at one booker, on the connections that are open to it."""
 
-    def __init__(self, surroundings: UpstreamContext, place: BookerEndpoint, legs: UpstreamRequests) -> None:
-        super().__init__(surroundings, place, legs)
-        self.latest_answered_sent_us = 0  # when the latest of the set-ups it answered was sent
-        self.probe_sent_us: int | None = None  # when the probe that is out was sent
-        self.last_report: Report | None = None  # the state of its lines, as told last
-        self.last_report_us = 0  # when that was
+    def __init__(
+        self, context: UpstreamContext, endpoint: BookerEndpoint, requests: UpstreamRequests
+    ) -> None:
+        super().__init__(context, endpoint, requests)
+        self.latest_answered_sent_us = 0  # send time of the latest set-up that was answered
+        self.probe_sent_us: int | None = None  # send time of the pending probe
+        self.last_report: Report | None = None  # the last unsolicited load report
+        self.last_report_us = 0  # when it arrived
 
     @property
     def name(self) -> str:
@@ -45,94 +47,99 @@
         return self.endpoint.booker
 
     def load_reported(self, connection: BookerConnection, report: Report) -> None:
-        """Take the state of the booker's lines; on up to four connections at once it is one report.
+        """Handle an unsolicited load report, from whichever connection it comes.
 
-        Danger: which connections those are is the booker's choice. Heard on one of ours alone, it was not
-        heard at all once that was none of them: the lines told last were used up, and the booker never asked.
+        The booker sends the same report on up to four connections of its choice, so equal reports within
+        `booker_told_us` count once. Listening on a single connection would miss all reports if the booker
+        chose others: the core would go on with an outdated count of free lines.
         """
         now_us = self.context.deadlines.now_us()
-        told = (
+        repeated = (
             report == self.last_report and now_us - self.last_report_us < self.context.limits.booker_told_us
         )
-        if not self.retired and not told:
+        if not self.retired and not repeated:
             self.last_report, self.last_report_us = report, now_us
             self.context.core.reported(self.endpoint.booker, report)
 
     def probe(self) -> None:
-        """Ask for a report, one at a time; where no connection is open there is nobody to ask."""
+        """Send a probe, unless one is pending, the booker was removed or no connection is open."""
         if self.probe_sent_us is not None or self.retired or not self.connections:
             return
-        asked_us = self.probe_sent_us = self.context.deadlines.now_us()
+        sent_us = self.probe_sent_us = self.context.deadlines.now_us()
         self.context.counters.add("booker.probes")
         self.least_loaded().send_probe()
         wait_us = self.context.limits.booker_probe_us
-        self.context.deadlines.after(wait_us, lambda: self._probe_timed_out(asked_us))
+        self.context.deadlines.after(wait_us, lambda: self._probe_timed_out(sent_us))
 
     def probe_answered(self, report: Report | None) -> None:
-        """Take the answer to a probe; what comes unasked, twice or late answers no probe that is out."""
+        """Handle the answer to a probe; unsolicited, repeated and late answers are only counted."""
         if self.probe_sent_us is None or self.retired:
             self.context.counters.add("booker.probes_unasked")
             return
-        took_us, self.probe_sent_us = self.context.deadlines.now_us() - self.probe_sent_us, None
+        elapsed_us, self.probe_sent_us = self.context.deadlines.now_us() - self.probe_sent_us, None
         if report is None:
             self.context.counters.add("booker.probes_without_report")
         else:
-            self.context.core.probed(self.name, took_us, report)
+            self.context.core.probed(self.name, elapsed_us, report)
 
-    def _probe_timed_out(self, asked_us: int) -> None:
-        if self.probe_sent_us != asked_us:
+    def _probe_timed_out(self, sent_us: int) -> None:
+        if self.probe_sent_us != sent_us:
             return
         self.probe_sent_us = None
         self.context.counters.add("booker.probes_lost")
-        # Danger: a probe is lost with its connection too; that of a booker which is heard tells no wait.
-        if self.last_received_us < asked_us and not self.retired:
+        # The probe may have been lost with its connection. If the booker has sent anything since, the
+        # time-out says nothing about its response time.
+        if self.last_received_us < sent_us and not self.retired:
             self.context.core.probed(self.name, self.context.limits.booker_probe_us, None)
 
     def set_up(self, attempt: Attempt) -> None:
-        """Send a set-up, or let it wait for the connection that is being made."""
-        leg = self.requests.add(attempt, self)
+        """Send a set-up, or queue it until a connection is open."""
+        request = self.requests.add(attempt, self)
         self.context.inherited_calls.record_sent(attempt.offer.uid)
         if self.connections:
-            self.send(leg)
+            self.send(request)
             self.open_spare()
         elif self.early_losses <= self.context.limits.booker_stillborn:
             self.connect()
 
-    def cancel(self, leg: UpstreamRequest, unanswered: bool = False) -> None:
-        """Give a set-up up, or release a call."""
-        self.requests.remove(leg)
-        connection = leg.connection or (self.least_loaded() if leg.established and self.connections else None)
+    def cancel(self, request: UpstreamRequest, unanswered: bool = False) -> None:
+        """Cancel a set-up, or release a call."""
+        self.requests.remove(request)
+        connection = request.connection or (
+            self.least_loaded() if request.established and self.connections else None
+        )
         if connection is None or not connection.is_open:
             return
-        uid, sent_us = leg.attempt.offer.uid, leg.attempt.sent_us
+        uid, sent_us = request.attempt.offer.uid, request.attempt.sent_us
         connection.send({"kind": "stop", "uid": uid, "meta": {}, "reason": CAUSE_NORMAL})
         silent_us = self.context.deadlines.now_us() - self.context.limits.booker_overtaken_us
         if unanswered and connection.last_received_us < sent_us < silent_us and not connection.pending:
-            # Danger: one that went silent looks idle, and would take set-up after set-up.
+            # A connection that has gone silent looks idle, so it would be chosen for every new set-up.
             self.retire_connection(connection, "silent")
 
     def call_accepted(self, connection: BookerConnection, message: Message) -> None:
-        """Take an answer."""
+        """Handle a booker's acceptance of a set-up."""
         uid, body = message_uid(message), message.get("body")
         if not isinstance(body, str):
             connection.half_close("bad_answer")
             return
-        leg = connection.pending.pop(uid, None)
-        if leg is None:
-            # A second one, or it crossed our giving up, which releases the call as it arrives.
+        request = connection.pending.pop(uid, None)
+        if request is None:
+            # A duplicate, or it crossed our cancel, which releases the call when it reaches the booker.
             self.context.counters.add("booker.late_answers")
             return
-        leg.established = True
-        self.latest_answered_sent_us = max(self.latest_answered_sent_us, leg.attempt.sent_us)
-        if not self.context.core.stood(leg.attempt, body):
-            self.cancel(leg)
+        request.established = True
+        self.latest_answered_sent_us = max(self.latest_answered_sent_us, request.attempt.sent_us)
+        if not self.context.core.stood(request.attempt, body):
+            self.cancel(request)
         self._retire_overtaken()
 
     def _retire_overtaken(self) -> None:
-        """Set connections aside that were passed over.
+        """Retire connections on which an answer was skipped.
 
-        A booker has one line: it answers in the order in which set-ups came. Danger: the answer to one
-        that a much later one has overtaken will not come, and waiting for it costs its whole time.
+        A booker answers set-ups in the order of their arrival. Once a set-up that was sent more than
+        `booker_overtaken_us` later has been answered, the earlier answer will not come, and waiting for it
+        would use up the attempt's whole time.
         """
         before_us = self.latest_answered_sent_us - self.context.limits.booker_overtaken_us
         for connection in self.connections[:]:
@@ -141,24 +148,26 @@
                 self.retire_connection(connection, "overtaken")
 
     def call_stopped(self, connection: BookerConnection, message: Message) -> None:
-        """Take a refusal or a release."""
+        """Handle a refusal of a set-up or the release of a call."""
         cause = message.get("reason")
         if not isinstance(cause, int):
             connection.half_close("bad_answer")
             return
-        leg = self.requests.get(message_uid(message))
-        if leg is None or (not leg.established and leg.connection is not connection):
-            if leg is None:
+        request = self.requests.get(message_uid(message))
+        if request is None or (not request.established and request.connection is not connection):
+            if request is None:
                 self.context.inherited_calls.release_received(message_uid(message), cause)
-            return  # it ends a call that is none of this pool's
+            return  # the call belongs to no connection of this pool
         meta: Message = message.get("meta", {})
-        if leg.established:
+        if request.established:
             outcome = Outcome.SERVED if cause == CAUSE_NORMAL else Outcome.CUT
         else:
             outcome = UNANSWERED_OUTCOMES.get(cause, Outcome.ERROR)
         note = meta.get("note")
         full = outcome is Outcome.TURNED_AWAY and note == "queue_long"
         no_line = outcome is Outcome.TURNED_AWAY and note == "no_path"
-        # Danger: when lines are lost a booker cuts many calls at once, and that it says so shows it is alive.
-        told_cut = outcome is Outcome.CUT
-        self.requests.finish(leg, End(outcome, full, no_line, read_report(meta.get("load")), spoilt=told_cut))
+        # A booker that loses lines cuts many calls at once; its message shows that the process is alive.
+        cut_by_booker = outcome is Outcome.CUT
+        self.requests.finish(
+            request, End(outcome, full, no_line, read_report(meta.get("load")), spoilt=cut_by_booker)
+        )
--- a/bitternbeam/net/platform/connection_pool.py
+++ b/bitternbeam/net/platform/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections that are open to one booker: making them, losing them, seeing after silent ones."""
+"""The connections to one booker: opening, reconnecting and liveness checks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BookerEndpoint:
-    """Where the list says that a booker is."""
+    """A booker's address and state as listed by discovery; `started_us` is Unix time, 0 if unknown."""
 
     booker: str
     host: str
@@ -32,66 +32,68 @@
 
 
 class ConnectionPool(ABC):
-    """The connections to one booker; what comes on them is taken by the class that is built on this one.
+    """The connections to one booker; a subclass handles the messages.
 
-    Danger: a connection that breaks takes every set-up on it along. So each set-up gets one on which no
-    other waits, and a spare is opened ahead, up to a limit; past that they share. They are kept up while
-    the booker is listed, as the state of its lines comes on them unasked.
+    A broken connection fails every set-up that is pending on it. So each set-up gets a connection without
+    other pending ones, and a spare is opened in advance; past the connection limit they are shared.
+    Connections stay open while the booker is listed, because unsolicited load reports come on them.
     """
 
-    def __init__(self, surroundings: UpstreamContext, place: BookerEndpoint, legs: UpstreamRequests) -> None:
-        self.context = surroundings
-        self.endpoint = place
-        self.requests = legs
+    def __init__(
+        self, context: UpstreamContext, endpoint: BookerEndpoint, requests: UpstreamRequests
+    ) -> None:
+        self.context = context
+        self.endpoint = endpoint
+        self.requests = requests
         self.connections: list[BookerConnection] = []
         self.connecting = 0
-        self.last_received_us = surroundings.deadlines.now_us()
-        self.early_losses = 0  # connections in a row that ended before anything came on them
-        self.no_spare_until_us = 0  # it took no further connection: ask for no spare until then
-        self.heartbeat_sent_us = 0  # a test was sent on a connection that had gone quiet
+        self.last_received_us = context.deadlines.now_us()
+        self.early_losses = 0  # consecutive connections lost before anything was received on them
+        self.no_spare_until_us = 0  # a connect failed: open no spare before this time
+        self.heartbeat_sent_us = 0  # the last heartbeat sent because the booker was quiet
         self.retired = False
         self.reconnect_timer: Deadline | None = None
         self.closed = False
 
     @abstractmethod
     def call_accepted(self, connection: BookerConnection, message: Message) -> None:
-        """Take an answer."""
+        """Handle a booker's acceptance of a set-up."""
 
     @abstractmethod
     def call_stopped(self, connection: BookerConnection, message: Message) -> None:
-        """Take a refusal or a release."""
+        """Handle a refusal of a set-up or the release of a call."""
 
     @abstractmethod
     def load_reported(self, connection: BookerConnection, report: Report) -> None:
-        """Take the state of the booker's lines that came unasked."""
+        """Handle an unsolicited load report."""
 
     @abstractmethod
     def probe_answered(self, report: Report | None) -> None:
-        """Take the answer to a probe."""
+        """Handle the answer to a probe; the report is None if it could not be parsed."""
 
     @abstractmethod
-    def cancel(self, leg: UpstreamRequest, unanswered: bool = False) -> None:
-        """Give a set-up up, or release a call."""
+    def cancel(self, request: UpstreamRequest, unanswered: bool = False) -> None:
+        """Cancel a set-up, or release a call."""
 
     def data_received(self, connection: BookerConnection) -> None:
-        """Note that something comes on a connection."""
+        """Note that data was received on a connection."""
         self.last_received_us, self.early_losses = connection.last_received_us, 0
 
     def connect(self) -> None:
-        """Open a connection, unless enough are being opened."""
+        """Open a connection, unless `booker_connecting` are being opened."""
         limits = self.context.limits
         if self.closed or self.connecting >= limits.booker_connecting:
             return
         self.connecting += 1
         if self.reconnect_timer:
             self.reconnect_timer.cancel()
-        place, wait_us = self.endpoint, limits.booker_connect_us
-        made = self.context.descriptor_quota.connect(
+        endpoint, wait_us = self.endpoint, limits.booker_connect_us
+        connected = self.context.descriptor_quota.connect(
             lambda: connect(
-                self.context.reactor, place.host, place.port, wait_us, lambda: BookerConnection(self)
+                self.context.reactor, endpoint.host, endpoint.port, wait_us, lambda: BookerConnection(self)
             )
         )
-        made.addCallbacks(self._connected, self._connect_failed)
+        connected.addCallbacks(self._connected, self._connect_failed)
 
     def _connected(self, connection: Any) -> None:
         self.connecting -= 1
@@ -104,40 +106,51 @@
         self.send_waiting()
 
     def send_waiting(self) -> None:
-        """Write what waited for a connection."""
-        for leg in self.requests.waiting():
-            self.send(leg)
+        """Send the set-ups that waited for a connection."""
+        for request in self.requests.waiting():
+            self.send(request)
 
-    def send(self, leg: UpstreamRequest) -> None:
-        """Write a set-up that is still allowed; its client is asked for that, and may bring anything."""
-        if self.requests.check_allowed(leg) and self.connections:
-            self.requests.send(self.least_loaded(), leg)
+    def send(self, request: UpstreamRequest) -> None:
+        """Send a set-up that is still allowed.
+
+        The check reads the client's input, whose messages may change this pool, so the connections are
+        looked at again afterwards.
+        """
+        if self.requests.check_allowed(request) and self.connections:
+            self.requests.send(self.least_loaded(), request)
 
     def least_loaded(self) -> BookerConnection:
-        """Return the connection with the fewest set-ups, of equals the one heard last.
+        """Return the connection with the fewest pending set-ups, among equals the one last received on.
 
-        Where what was written before has not left yet, a set-up would reach its server late: after its client
-        has left, with a time that is used up. So such a connection comes last.
+        Connections with unsent output come last: a set-up would reach the server late, when its time may be
+        used up or its client may have left.
         """
         return min(
-            self.connections, key=lambda one: (one.has_unsent_output, len(one.pending), -one.last_received_us)
+            self.connections,
+            key=lambda connection: (
+                connection.has_unsent_output,
+                len(connection.pending),
+                -connection.last_received_us,
+            ),
         )
 
     def open_spare(self) -> None:
-        """Open a connection ahead of its need."""
-        idle = any(not (one.pending or one.has_unsent_output) for one in self.connections)
-        most = self.context.descriptor_quota.per_server(self.context.limits.booker_connections)
-        room = len(self.connections) + self.connecting < most
+        """Open a connection in advance if none is idle and the limits allow it."""
+        idle = any(
+            not (connection.pending or connection.has_unsent_output) for connection in self.connections
+        )
+        limit = self.context.descriptor_quota.per_server(self.context.limits.booker_connections)
+        below_limit = len(self.connections) + self.connecting < limit
         if (
             not idle
-            and room
+            and below_limit
             and not self.retired
             and self.context.deadlines.now_us() >= self.no_spare_until_us
         ):
             self.connect()
 
     def _connect_failed(self, failure: Failure) -> None:
-        """Nothing ran of what waited for it; what stands there may be over."""
+        """Fail the set-ups that waited for a connection; cut established calls if the booker is gone."""
         self.connecting -= 1
         deadlines, limits = self.context.deadlines, self.context.limits
         now_us = deadlines.now_us()
@@ -149,38 +162,39 @@
         refused = failure.check("twisted.internet.error.ConnectionRefusedError") is not None
         silent = now_us - self.last_received_us > limits.booker_silent_us
         if self.connections and not silent:
-            # It takes no more of them, or its process has ended and the resets did not come through: a test
-            # brings them. One that drains refuses new ones long before its end, so this alone proves nothing.
+            # The booker is at its connection limit, or its process has ended and the resets were lost; a
+            # heartbeat provokes them. A draining booker refuses connections long before its end, so a
+            # refusal alone proves nothing.
             for connection in self.connections if refused else ():
                 connection.send_heartbeat()
             return
-        # Danger: a booker whose process has died may leave its connections open and silent; refused
-        # beside them was taken for 'full', and what stood there was never told as cut.
+        # A dead process may leave its connections open and silent. A refusal beside them must not be taken
+        # for a full booker: its calls would never be reported as cut.
         for connection in self.connections[:]:
             connection.drop("silent")
         if refused or silent or not self.connecting:
             self.requests.finish_waiting(Outcome.NO_CONNECTION)
         else:
-            # Danger: some connections never come up. What began to wait later has another on its way.
+            # Some connects never complete. Set-ups queued after this one began have another connect pending.
             self.requests.finish_waiting(Outcome.NO_CONNECTION, now_us - limits.booker_connect_us)
         if refused or silent:
-            # No process listens, or the machine has vanished: its calls were cut.
+            # No process listens, or the host is gone: its calls were cut.
             self.requests.cut_all()
-        # Danger: one that drains takes no new connection any more. Asked again twice a second by two hundred
-        # restarted controllers it made four fifths of a day's connections; it is asked anew once it is ready.
+        # A draining booker accepts no new connection. Retries every half second by 200 restarted instances
+        # made up four fifths of a day's connections, so the next try waits until it is listed as ready.
         drained = refused and self.endpoint.state is not SwitchState.READY
         if not self.closed and not self.retired and not drained:
             self._schedule_reconnect()
 
     def _connect_without_descriptor(self) -> None:
-        """Send nothing on a connection that can't be made for want of a descriptor of our own.
+        """Handle a connect that failed for lack of a local descriptor.
 
-        Taken for a server that has vanished, it cut the calls that stand there.
+        It says nothing about the server, so established calls are not cut.
         """
         if self.connections or self.connecting:
             return
-        for leg in self.requests.waiting():
-            self.requests.finish(leg, End(Outcome.NO_CONNECTION))
+        for request in self.requests.waiting():
+            self.requests.finish(request, End(Outcome.NO_CONNECTION))
         if not self.closed and not self.retired:
             self._schedule_reconnect()
 
@@ -190,40 +204,40 @@
         self.reconnect_timer = self.context.deadlines.after(self.context.limits.booker_retry_us, self.connect)
 
     def connection_lost(self, connection: BookerConnection) -> None:
-        """Break the set-ups of a lost connection; whether calls are cut shows when it is made anew."""
+        """Fail the pending set-ups of a lost connection; the reconnect shows whether its calls were cut."""
         if connection not in self.connections:
             return
         self.connections.remove(connection)
-        for leg in self.requests.all():
-            if leg.connection is connection:
-                if leg.established:
-                    leg.connection = None
+        for request in self.requests.all():
+            if request.connection is connection:
+                if request.established:
+                    request.connection = None
                 else:
-                    # If its process died, that shows at once: the next connection is refused.
-                    self.requests.finish(leg, End(Outcome.CUT, spoilt=True))
+                    # If the process died, the next connect is refused at once.
+                    self.requests.finish(request, End(Outcome.CUT, spoilt=True))
         self.early_losses += not connection.has_received
         if self.retired and not self.connections and not self.closed:
             self.requests.cut_all()
             self.close()
         elif not self.closed:
-            # Danger: a release may have gone down with it, whose call would stand for ever. The booker sends
-            # it once more on the next connection that is opened, so one is, however many are left.
+            # A release may have been lost with the connection, and its call would never end. The booker
+            # repeats it on the next new connection, so one is opened however many are left.
             if self.early_losses <= self.context.limits.booker_stillborn:
                 self.connect()
             elif not self.connecting:
-                # Danger: a peer that accepts and resets would be called again as fast as it can answer.
+                # Without a delay, a peer that accepts and resets would be reconnected to in a tight loop.
                 self._schedule_reconnect()
 
     def check_liveness(self) -> None:
-        """See after a booker that has not been heard for long while calls are there.
+        """Check a booker that has sent nothing for long while it has calls.
 
-        Halfway through the silence a test goes out on one connection: a live booker passes it at once,
-        so that a silence to its end means a dead process, whatever new connections then meet.
+        After half of `booker_silent_us` a heartbeat is sent on one connection. A live booker answers it at
+        once, so silence for the whole time means a dead process, whatever happens to new connections.
         """
         now_us, silent_us = self.context.deadlines.now_us(), self.context.limits.booker_silent_us
         if not self.requests.by_uid:
             return
-        holding = {leg.connection for leg in self.requests.all() if leg.established}
+        with_calls = {request.connection for request in self.requests.all() if request.established}
         if now_us - self.last_received_us > silent_us:
             self.connect()
         elif (
@@ -233,11 +247,12 @@
         ):
             self.heartbeat_sent_us = now_us
             self.least_loaded().send_heartbeat()
-        # Danger: a connection whose reset did not come through stays open, silent, while tests are passed on
-        # others: its calls were told only 2 s after the list's word, which may be 7 s late. A test brings it.
+        # A connection whose reset was lost stays open and silent while others answer heartbeats. Its calls
+        # would be reported only 2 s after discovery's event, which may be 7 s late; a heartbeat provokes
+        # the reset.
         for connection in self.connections:
             quiet_us = now_us - max(connection.last_received_us, connection.heartbeat_sent_us)
-            if quiet_us > silent_us // 2 and connection in holding:
+            if quiet_us > silent_us // 2 and connection in with_calls:
                 connection.send_heartbeat()
 
     def close(self) -> None:
@@ -248,13 +263,15 @@
         for connection in self.connections:
             connection.transport.loseConnection()
 
-    def retire_connection(self, connection: BookerConnection, why: str) -> None:
-        """Use a connection no more, but hear what still comes on it for a while.
+    def retire_connection(self, connection: BookerConnection, cause: str) -> None:
+        """Send nothing more on a connection, but read from it for a while.
 
-        Danger: releases may be on their way on it, and after a reset of ours they would not come again.
+        Releases may be on their way on it, and the booker does not repeat them after a reset from our side.
         """
-        self.context.counters.add(f"booker.set_aside.{why}")
+        self.context.counters.add(f"booker.set_aside.{cause}")
         for uid in connection.pending:
             connection.send({"kind": "stop", "uid": uid, "meta": {}, "reason": CAUSE_NORMAL})
         self.connection_lost(connection)
-        self.context.deadlines.after(self.context.limits.booker_aside_us, lambda: connection.half_close(why))
+        self.context.deadlines.after(
+            self.context.limits.booker_aside_us, lambda: connection.half_close(cause)
+        )
--- a/bitternbeam/net/platform/descriptor_quota.py
+++ b/bitternbeam/net/platform/descriptor_quota.py
@@ -1,4 +1,4 @@
-"""The descriptors of the connections to all servers: counted, and never more than their share."""
+"""The limit on descriptors for connections to all servers together."""
 
 from __future__ import annotations
 
@@ -12,23 +12,20 @@
 
 
 class NoDescriptorError(Exception):
-    """No descriptor was free for a connection; it tells nothing of the server."""
+    """The quota is used up; this says nothing about the server."""
 
 
 class DescriptorQuota:
-    """Lets connections be made while there are descriptors for them.
+    """Makes connections while the limit allows it; `release` is called when a made one is closed."""
 
-    Whoever made one says `give_back` once it is closed.
-    """
-
-    def __init__(self, most: int, counters: Counters) -> None:
-        self.limit = most
+    def __init__(self, limit: int, counters: Counters) -> None:
+        self.limit = limit
         self.counters = counters
-        self.server_count = 0  # that connections are kept to
-        self.in_use = 0  # being made, open or being closed
+        self.server_count = 0  # that connections are kept open to
+        self.in_use = 0  # connections being made, open or being closed
 
     def connect(self, connect: Callable[[], Deferred[Any]]) -> Deferred[Any]:
-        """Connect; fails with NoDescriptorError at once, and connects nowhere, where the share is used up."""
+        """Connect; fails with NoDescriptorError at once if the quota is used up."""
         if self.in_use >= self.limit:
             self.counters.add("booker.no_descriptor")
             return fail(NoDescriptorError())
@@ -40,9 +37,9 @@
         return failure
 
     def release(self) -> None:
-        """Take note that a connection is closed."""
+        """Return the descriptor of a closed connection to the quota."""
         self.in_use -= 1
 
-    def per_server(self, most: int) -> int:
-        """Return how many connections one server may have, so that the share lasts for all of them."""
-        return max(1, min(most, self.limit // max(1, self.server_count)))
+    def per_server(self, limit: int) -> int:
+        """Return each server's equal part of the quota, at least 1 and at most `limit`."""
+        return max(1, min(limit, self.limit // max(1, self.server_count)))
--- a/bitternbeam/net/platform/releases.py
+++ b/bitternbeam/net/platform/releases.py
@@ -1,4 +1,4 @@
-"""Where the release of a call goes: its own connection may have gone, and its client still has to hear."""
+"""Sends the releases of calls to clients, also when the call's own connection is closed."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class ReleaseSender:
-    """Sends releases to clients, and keeps those for which there is no connection now."""
+    """Sends releases to clients, and queues those for which no connection is open."""
 
     def __init__(self, connections: SlotTable[ClientConnection], limits: Limits, counters: Counters) -> None:
         self.connections = connections
         self.limits = limits
         self.counters = counters
-        self.waiting: OrderedDict[str, int] = OrderedDict()  # causes by id, the oldest first
+        self.waiting: OrderedDict[str, int] = OrderedDict()  # causes by call id, oldest first
 
     def send(self, connection: ClientConnection | None, uid: str, cause: int) -> None:
-        """Send a release on a call's own connection, or else on one that leads to the clients, or keep it."""
+        """Send a release on the call's own connection, on another one of the clients', or queue it."""
         connection = connection or self._client_connection()
         if connection is not None:
             self.counters.add("client.releases")
@@ -32,15 +32,19 @@
             self.counters.add("client.releases_dropped")
 
     def send_waiting(self, connection: ClientConnection) -> None:
-        """Send what waits on a connection that was served just now."""
+        """Send the queued releases on a connection on which a call was just accepted."""
         while self.waiting:
             self.send(connection, *self.waiting.popitem(last=False))
 
     def _client_connection(self) -> ClientConnection | None:
-        """Return a connection that leads to the clients.
+        """Return a connection that is known to belong to the calls' clients, or None.
 
-        Most may belong to those that only hold on or talk nonsense, or be about to go themselves. One on
-        which calls stand leads to the clients, then one that was served; of these, the one heard last.
+        Other connections may be idle, belong to faulty clients or be about to close. Those with established
+        calls come first, then those on which a call was accepted before; among equals the last one used.
         """
-        served = [one for one in self.connections.values() if one.has_served_call]
-        return max(served, key=lambda one: (one.established_calls > 0, one.idle_since_us), default=None)
+        served = [connection for connection in self.connections.values() if connection.has_served_call]
+        return max(
+            served,
+            key=lambda connection: (connection.established_calls > 0, connection.idle_since_us),
+            default=None,
+        )
--- a/bitternbeam/net/platform/request_parsing.py
+++ b/bitternbeam/net/platform/request_parsing.py
@@ -1,4 +1,4 @@
-"""What a client's request asks for, read from its message."""
+"""Parses a client's request message."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from bitternbeam.net.reports import figures
 
 REQUEST_ID_PATTERN = re.compile("[0-9a-fA-F]{16}")
-MAX_WIDTH_CIRCUITS = 1_000  # of a call, in circuits: more is no call
-NO_CELL = -1  # of a request without a destination
+MAX_WIDTH_CIRCUITS = 1_000
+NO_CELL = -1  # the request has no destination
 
 
 class InvalidRequestError(Exception):
-    """A field of a request has the wrong type or makes no sense; its text names the field."""
+    """A field of a request has a wrong type or value; the text is the field's name."""
 
 
 def is_request_id(uid: str) -> bool:
-    """Tell whether an id has the form that the protocol gives it."""
+    """Return whether an id has the protocol's form of 16 hexadecimal digits."""
     return REQUEST_ID_PATTERN.fullmatch(uid) is not None
 
 
@@ -28,17 +28,17 @@
     message: Message, *, uid: str, ref: int, client: str, arrived_us: int, classes: Collection[str],
     longest_us: int, key_chars: int,
 ) -> Offer:  # fmt: skip
-    """Return the request as the core takes it; raises UnusableRequestError.
+    """Return the request as an offer to the core; raises InvalidRequestError.
 
-    A server is told neither the figures nor how they were written: it would answer, and a client that asked
-    for nonsense would be served.
+    All values are checked here: servers do not receive the `extras`, so they would accept a request with
+    invalid ones.
     """
     meta: dict[str, Any] = message.get("meta", {})
     call_class, key, body = meta.get("class"), meta.get("key", ""), message.get("body", "")
     if not isinstance(call_class, str) or call_class not in classes:
         raise InvalidRequestError("class")
     if not isinstance(key, str) or len(key) > key_chars:
-        raise InvalidRequestError("key")  # kept while its client may ask again: long ones fill the memory
+        raise InvalidRequestError("key")  # kept for retries by the client, so the length is bounded
     if not isinstance(body, str):
         raise InvalidRequestError("body")
     left_ms = parse_number(meta, "left")
--- a/bitternbeam/net/platform/upstream_context.py
+++ b/bitternbeam/net/platform/upstream_context.py
@@ -1,4 +1,4 @@
-"""What every pool of connections works with."""
+"""The dependencies that all booker pools share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamContext:
-    """The parts of the program that a pool meets."""
+    """The dependencies that all booker pools share."""
 
     reactor: Any
     core: CallControl
--- a/bitternbeam/net/platform/upstream_requests.py
+++ b/bitternbeam/net/platform/upstream_requests.py
@@ -1,4 +1,4 @@
-"""The attempts at one booker, from the set-up to its end."""
+"""The attempts at one booker, from set-up to end."""
 
 from __future__ import annotations
 
@@ -9,39 +9,43 @@
 
 
 class UpstreamRequests:
-    """The attempts at one booker; beside the others' in what the back looks them up in."""
+    """The attempts at one booker, also indexed with those of all bookers in `all_by_uid`."""
 
-    def __init__(self, surroundings: UpstreamContext, all_by_uid: dict[str, UpstreamRequest]) -> None:
-        self.context = surroundings
+    def __init__(self, context: UpstreamContext, all_by_uid: dict[str, UpstreamRequest]) -> None:
+        self.context = context
         self.all_by_uid = all_by_uid
         self.by_uid: dict[str, UpstreamRequest] = {}
 
     def add(self, attempt: Attempt, holder: ConnectionOwner) -> UpstreamRequest:
-        """Take an attempt up; it waits for a connection."""
+        """Add an attempt, which waits for a connection."""
         attempt.unsent = True
-        leg = self.by_uid[attempt.offer.uid] = self.all_by_uid[attempt.offer.uid] = UpstreamRequest(
+        request = self.by_uid[attempt.offer.uid] = self.all_by_uid[attempt.offer.uid] = UpstreamRequest(
             attempt, holder
         )
-        return leg
+        return request
 
     def get(self, uid: str) -> UpstreamRequest | None:
-        """Return the attempt of a call, if it is at this booker."""
+        """Return the attempt of a call, or None if this booker has none."""
         return self.by_uid.get(uid)
 
     def all(self) -> list[UpstreamRequest]:
-        """Return all of them, as they are now."""
+        """Return a copy of the list of all attempts."""
         return list(self.by_uid.values())
 
     def waiting(self) -> list[UpstreamRequest]:
-        """Return those that wait for a connection."""
-        return [leg for leg in self.by_uid.values() if leg.connection is None and not leg.established]
-
-    def send(self, connection: BookerConnection, leg: UpstreamRequest) -> None:
-        """Send a set-up that the rules allow at this moment."""
-        attempt = leg.attempt
+        """Return the attempts that wait for a connection."""
+        return [
+            request
+            for request in self.by_uid.values()
+            if request.connection is None and not request.established
+        ]
+
+    def send(self, connection: BookerConnection, request: UpstreamRequest) -> None:
+        """Send a set-up, which must have passed `check_allowed`."""
+        attempt = request.attempt
         waited_us = self.context.deadlines.now_us() - attempt.sent_us
-        leg.connection = connection
-        connection.pending[attempt.offer.uid] = leg
+        request.connection = connection
+        connection.pending[attempt.offer.uid] = request
         meta = {"class": attempt.offer.call_class, "left": str(max(1, (attempt.left_us - waited_us) // 1000))}
         if attempt.offer.number:
             meta["key"] = attempt.offer.number
@@ -50,45 +54,48 @@
         )
         self.context.core.written(attempt)
 
-    def finish(self, leg: UpstreamRequest, end: End) -> None:
-        """Tell the core of an end, once."""
-        if self.remove(leg):
-            self.context.core.ended(leg.attempt, end)
+    def finish(self, request: UpstreamRequest, end: End) -> None:
+        """Remove an attempt and report its end to the core, once."""
+        if self.remove(request):
+            self.context.core.ended(request.attempt, end)
 
-    def remove(self, leg: UpstreamRequest) -> bool:
-        """Take an attempt out; False if it is out already."""
-        uid = leg.attempt.offer.uid
-        if leg.connection:
-            leg.connection.pending.pop(uid, None)
+    def remove(self, request: UpstreamRequest) -> bool:
+        """Remove an attempt; False if it was removed before."""
+        uid = request.attempt.offer.uid
+        if request.connection:
+            request.connection.pending.pop(uid, None)
         self.all_by_uid.pop(uid, None)
         return self.by_uid.pop(uid, None) is not None
 
     def finish_waiting(self, outcome: Outcome, since_us: int | None = None) -> None:
-        """End those that wait for a connection, or have since then: they never ran; requests go on."""
-        for leg in self.waiting():
-            if since_us is None or leg.attempt.sent_us <= since_us:
-                self.finish(leg, End(outcome))
+        """End the attempts that wait for a connection, or have waited since `since_us`.
+
+        They were never sent, so the core may retry their calls at once.
+        """
+        for request in self.waiting():
+            if since_us is None or request.attempt.sent_us <= since_us:
+                self.finish(request, End(outcome))
 
     def recheck_waiting(self) -> None:
-        """End those that wait for a connection and that the rules, or the list, allow no more."""
-        for leg in self.waiting():
-            self.check_allowed(leg)
+        """End the waiting attempts that the rules or the booker list no longer allow."""
+        for request in self.waiting():
+            self.check_allowed(request)
 
-    def check_allowed(self, leg: UpstreamRequest) -> bool:
-        """Ask again whether a set-up may be sent, which may have waited long; one that may not is ended."""
-        allowed = self.context.core.may_write(leg.attempt)
+    def check_allowed(self, request: UpstreamRequest) -> bool:
+        """Ask the core whether a set-up, which may have waited long, may still be sent; if not, end it."""
+        allowed = self.context.core.may_write(request.attempt)
         if not allowed:
-            self.finish(leg, End(Outcome.NOT_SENT))
+            self.finish(request, End(Outcome.NOT_SENT))
         return allowed
 
     def cut_all(self) -> None:
-        """End whatever was there."""
+        """End all attempts: waiting ones as not sent, the others as cut."""
         self.finish_waiting(Outcome.NOT_SENT)
-        for leg in self.all():
-            self.finish(leg, End(Outcome.CUT))
+        for request in self.all():
+            self.finish(request, End(Outcome.CUT))
 
     def cut_sent_before(self, started_us: int) -> None:
-        """End what was set up before a fresh start: the process that held it is gone."""
-        for leg in self.all():
-            if leg.attempt.sent_us < started_us and not leg.attempt.unsent:
-                self.finish(leg, End(Outcome.CUT))
+        """Cut what was sent before the booker restarted: the process that held it has ended."""
+        for request in self.all():
+            if request.attempt.sent_us < started_us and not request.attempt.unsent:
+                self.finish(request, End(Outcome.CUT))
