--- a/bitternbeam/net/platform/client_connection.py
+++ b/bitternbeam/net/platform/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its states, what is read from it, and how it ends."""
+"""One client's connection: its states, its input, and how it is closed."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 from bitternbeam.net.platform.request_parsing import is_request_id
 from bitternbeam.tables.deadlines import Deadline, Deadlines
 
-MAX_READS_PER_POLL = 4  # of one look: each takes up to 64 KiB, four times the longest message
+MAX_READS_PER_POLL = 4  # each reads up to 64 KiB, four times the longest message
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells the front."""
+    """The connection's view of the front."""
 
     deadlines: Deadlines
     limits: Limits
     counters: Counters
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Take a new connection."""
+        """Register a new connection."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection; what is still open on it is withdrawn."""
+        """Forget a connection and withdraw its open requests."""
 
     def transport_closed(self, connection: ClientConnection) -> None:
-        """Note that a connection's descriptor is closed."""
+        """Forget a connection whose descriptor is closed."""
 
     def partial_message_changed(self, connection: ClientConnection) -> None:
-        """Note that the beginning of a message has come, or its rest."""
+        """Note that a connection began or completed a partial message."""
 
     def request_received(self, connection: ClientConnection, request: QueuedRequest) -> None:
-        """Take a request."""
+        """Handle a request."""
 
     def stops_received(self, connection: ClientConnection, uids: list[str]) -> None:
-        """Take a client's word that it gives up requests, or ends calls."""
+        """Handle a client's cancels and releases."""
 
     def heartbeat_received(self, connection: ClientConnection) -> bool:
-        """Tell whether a test is passed."""
+        """Return whether a client's health check passes."""
 
     def fail_open_requests(self, connection: ClientConnection) -> None:
-        """Withdraw what is open on a connection and answer it as failed."""
+        """Withdraw a connection's open requests and answer each as failed."""
 
 
 class ClientConnection(JsonLines):
     """One client's connection.
 
-    What is read is sorted first, up to all that the client has sent so far; then cancels take effect, all at
-    once, and then the requests are offered. So a request whose cancel, or whose connection's end, came with
-    it is never sent on, however late a loop that was held up reads both.
+    All input that has arrived is parsed first; then all cancels take effect together; then the requests are
+    offered to the core. So a request that arrives with its cancel, or with the end of its connection, is
+    never sent on, however late a blocked event loop reads both.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
@@ -63,55 +63,53 @@
         self.owner = owner
         self.state = ConnectionState.OPEN
         self.refusal_cause = CloseCause.OVER_LIMIT
-        self.handle = 0  # in the front's table; 0: it has no slot
-        self.peer_host = ""  # its address
-        self.queued_requests: dict[str, QueuedRequest] = {}  # by id, in the order of their reading
-        self.pending_stops: list[
-            str
-        ] = []  # ids whose cancel or release was read and has not taken effect yet
+        self.handle = 0  # in the front's table; 0: without a slot
+        self.peer_host = ""  # the client's IP address
+        self.queued_requests: dict[str, QueuedRequest] = {}  # by id, in the order of arrival
+        self.pending_stops: list[str] = []  # ids of cancels and releases that were read and not applied yet
         self.open_requests: dict[str, ClientRequest] = {}  # offered and not answered, by id
-        self.established_calls = 0  # that came on it; their releases are sent here
-        self.has_served_call = False  # a call that came on it stood: no bad client's ever does
-        self.has_been_used = False  # it has sent something of use
+        self.established_calls = 0  # requested on this connection; their releases are sent here
+        self.has_served_call = False  # a call requested here was accepted, so the client is no faulty one
+        self.has_been_used = False  # it has sent a valid message
         self.idle_since_us = owner.deadlines.now_us()
-        self.partial_since_us = 0  # when the first byte of the message came that is not whole yet
+        self.partial_since_us = 0  # arrival of the first byte of the partial message
         self.idle_timer: Deadline | None = None
         self._read_us = self._polled_us = 0
         self._polling = self._offering = False
-        self._received = self._message_ended = False  # bytes, or the end of a message, since last unset
-        self._has_written = False  # something was written on it
-        self._unread_messages = 0  # messages written while the client did not read
+        self._received = self._message_ended = False  # reset before each read
+        self._has_written = False
+        self._unread_messages = 0  # written while the client did not read
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request is queued or open on it."""
+        """Whether a request is queued or open."""
         return bool(self.queued_requests or self.open_requests)
 
     @property
     def poll_due(self) -> bool:
-        """Tell whether its client may have left meanwhile, so that a look is due before an attempt."""
+        """Whether the last poll is so old that the client may have left; poll again before an attempt."""
         return self.deadlines.now_us() - self._polled_us >= self.limits.client_look_us
 
-    # The transport's events.
+    # Transport events.
 
     def connectionMade(self) -> None:
-        """Begin to read."""
+        """Register with the front."""
         super().connectionMade()
         self.peer_host = str(getattr(self.transport.getPeer(), "host", ""))
         self.owner.connection_opened(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Withdraw what is open: nobody is left to answer."""
+        """Withdraw the open requests: nobody is left to answer."""
         super().connectionLost(reason)
         self._mark_closed()
         self.owner.transport_closed(self)
 
     def readConnectionLost(self) -> None:
-        """Take the client's end of its output.
+        """Handle the end of the client's output.
 
-        It may have closed, or only half-closed and wait for its answers: the two can't be told apart. So
-        nothing more is sent on and what was is given up, as for one that has left; and each request gets its
-        final answer, as for one that has not.
+        The client may have closed the connection, or half-closed it and still wait for answers; the two look
+        the same. So its attempts are given up, as for a client that has left, and each request still gets
+        its final answer, as for one that waits.
         """
         self._apply_stops()
         if self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
@@ -119,13 +117,13 @@
         elif self.busy:
             self.close(CloseCause.CLIENT_LEFT)
         elif self._has_written:
-            self.close(CloseCause.CLIENT_CLOSED)  # it may still be reading what was written
+            self.close(CloseCause.CLIENT_CLOSED)  # the client may still be reading its answers
         else:
             self.transport.loseConnection()
             self._mark_closed()
 
     def dataReceived(self, data: bytes) -> None:
-        """Sort what has come, then offer the requests in it."""
+        """Parse the received bytes, then offer the requests in them."""
         self._received = True
         self._message_ended = False
         self._read_us = self.deadlines.now_us()
@@ -140,12 +138,12 @@
             self.offer_queued()
 
     def lineReceived(self, line: bytes) -> None:
-        """Note that a message is whole."""
+        """Note that a message is complete."""
         self._message_ended = True
         super().lineReceived(line)
 
     def message_received(self, message: Message) -> None:
-        """Sort a message by its kind."""
+        """Handle a message by its kind."""
         kind = message.get("kind")
         if kind == "launch":
             self._queue_request(message_uid(message), message)
@@ -159,7 +157,7 @@
 
     def _queue_request(self, uid: str, message: Message) -> None:
         if not is_request_id(uid):
-            self.drop(CloseCause.NO_ID)  # there is no naming the request in an answer
+            self.drop(CloseCause.NO_ID)  # an answer could not name the request
         elif uid in self.queued_requests:
             self.refuse_new_requests(CloseCause.REPEATED_ID)  # one refusal serves for both
         else:
@@ -177,11 +175,11 @@
             self.owner.stops_received(self, stops)
 
     def poll_input(self) -> None:
-        """Read what the client has sent up to now, and notice that it has left.
+        """Read the client's pending input now, and detect that it has closed.
 
-        A loop that was held up finds a cancel, an EOF or a reset only after the timers that are due, while
-        the rule on attempts counts from when the client sent it. Requests that come to light are offered in
-        the next turn of the loop.
+        A blocked event loop runs its due timers before it reads a cancel, an EOF or a reset, while no
+        attempt may start after the client has sent one. Requests found here are offered in the loop's next
+        turn.
         """
         if self._polling:
             return
@@ -207,7 +205,7 @@
             self.deadlines.after(0, self.offer_queued)
 
     def offer_queued(self) -> None:
-        """Offer what is queued, once all that the client has sent is read."""
+        """Read all pending input, then offer the queued requests to the core."""
         if self._offering or not self.queued_requests:
             return
         self._offering = True
@@ -216,14 +214,14 @@
             while self.queued_requests:
                 request = self.queued_requests.pop(next(iter(self.queued_requests)))
                 self.owner.request_received(self, request)
-                # A burst of hundreds takes a while, and its last one may be cancelled by then.
+                # Offering hundreds of requests takes a while, in which the last ones may be cancelled.
                 if self.queued_requests and self.poll_due:
                     self.poll_input()
         finally:
             self._offering = False
 
     def send(self, message: Message) -> None:
-        """Send a message, unless the client reads nothing and has too many of them to come."""
+        """Send a message; a client with too many unread messages is disconnected."""
         if self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
             return
         self._has_written = True
@@ -234,32 +232,32 @@
                 self._abort_stalled()
 
     def send_stop(self, uid: str, cause: int, stay_away_us: int = 0) -> None:
-        """Send a refusal, a failure or a release; stay_away_us above 0 goes along."""
+        """Send a refusal, a failure or a release; a `stay_away_us` above 0 is sent as its wait in ms."""
         meta = {"wait": str(-(-stay_away_us // 1000))} if stay_away_us > 0 else {}
         self.send({"kind": "stop", "uid": uid, "meta": meta, "reason": cause})
 
     def resumeProducing(self) -> None:
-        """Begin to count anew: the client has read what was written."""
+        """Reset the count of unread messages: the client reads again."""
         self._unread_messages = 0
         super().resumeProducing()
 
-    # The ends.
+    # Closing.
 
     def refuse_new_requests(self, cause: CloseCause) -> None:
-        """Take no further request, and close for that cause behind the answers that are owed."""
+        """Accept no further request, and close after the pending answers."""
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.REFUSING
             self.refusal_cause = cause
 
     def close_if_done(self) -> None:
-        """Close a connection that refuses, once nothing is open on it."""
+        """Close a REFUSING connection that has no open request."""
         if self.state is ConnectionState.REFUSING and not self.busy:
             self.poll_input()
             if not self.busy:
                 self.close(self.refusal_cause)
 
     def close(self, cause: str, make_room: bool = True) -> None:
-        """Answer what is owed and close, so that the client can read all of it (see close_gracefully)."""
+        """Answer all requests and close so that the client can read the answers (see close_gracefully)."""
         if self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
             return
         self._apply_stops()
@@ -269,19 +267,19 @@
             self.counters.add("client.refused_unsent")
             self.send_stop(uid, CAUSE_REFUSED)
         if not self.is_open:
-            return  # it was cut off by an answer too many
+            return  # disconnected for too many unread messages
         self.state = ConnectionState.CLOSING
         self.owner.connection_closed(self)
         self.close_gracefully(cause, make_room)
 
-    def drop(self, why: str) -> None:
-        """End a connection that is of no further use: it can't be told where its next message begins."""
+    def drop(self, cause: str) -> None:
+        """Close a connection that can't be parsed any further, gracefully if answers may be unread."""
         if self.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
             return
         if self.busy or self._has_written:
-            self.close(why)  # Danger: a reset would destroy an answer that the client has not read yet
+            self.close(cause)  # a reset would discard answers that the client has not read yet
             return
-        super().drop(why)
+        super().drop(cause)
         self._mark_closed()
 
     def _abort_stalled(self) -> None:
--- a/bitternbeam/net/platform/client_requests.py
+++ b/bitternbeam/net/platform/client_requests.py
@@ -1,4 +1,4 @@
-"""What is kept of clients: the states of a connection, the requests, and the table of those."""
+"""The states of a client's connection, its requests, and the table of requests."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class ConnectionState(Enum):
-    """How far a connection has come; docs/lifecycles.md has the table of states and events."""
+    """The state of a client's connection; docs/lifecycles.md has the table of states and events."""
 
     OPEN = "open"
-    REFUSING = "refusing"  # takes no further request, and closes once nothing is open on it
-    CLOSING = "closing"  # all its answers are given and leaving; input is thrown away
+    REFUSING = "refusing"  # accepts no further request, and closes once none is open
+    CLOSING = "closing"  # all answers are written and being flushed; input is discarded
     CLOSED = "closed"
 
 
 class CloseCause(StrEnum):
-    """Why a connection was closed from this side; the counters are named after it."""
+    """Why a connection was closed from this side; the value is part of the counters' names."""
 
-    CLIENT_CLOSED = "client_closed"  # with nothing open
-    CLIENT_LEFT = "client_left"  # with requests open
+    CLIENT_CLOSED = "client_closed"  # without open requests
+    CLIENT_LEFT = "client_left"  # with open requests
     DUPLICATE_ID = "duplicate_id"
     FOR_ROOM = "for_room"
     HALF_MESSAGE = "half_message"
@@ -38,27 +38,27 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A request that was read and is not offered to the core yet."""
+    """A request that was read and not offered to the core yet."""
 
     uid: str
     message: Message
-    arrived_us: int  # when it may have come at the earliest: its client waits since then
+    arrived_us: int  # earliest possible arrival; the client's time counts from here
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A client's request, and the call that it becomes: where its answer goes, how the core names it."""
+    """A client's request and the call that results from it."""
 
     uid: str
-    connection: int  # handle of the connection that it came on
-    ref: int = 0  # the front's handle, by which the core names it to the front
-    call: int = 0  # the core's handle; 0 while the core is being offered it
-    answered: bool = False  # the call stands
-    finished: bool = False  # nothing more is owed; it is taken from the table next
+    connection: int  # handle of the connection it came on
+    ref: int = 0  # the front's handle, which the core passes back
+    call: int = 0  # the core's handle; 0 while it is being offered
+    answered: bool = False  # the call is established
+    finished: bool = False  # needs no further message; about to be removed from the table
 
 
 class RequestTable:
-    """The requests that are open and the calls that stand, by handle and by id."""
+    """The open requests and the established calls, by handle and by id."""
 
     def __init__(self, size: int, recent_ids: RecentIds) -> None:
         self.recent_ids = recent_ids
@@ -70,11 +70,11 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further request can be put."""
+        """Whether no further request can be added."""
         return self._requests.full
 
     def put(self, uid: str, connection: int) -> ClientRequest:
-        """Keep a new request."""
+        """Add a request."""
         request = ClientRequest(uid, connection)
         request.ref = self._requests.put(request)
         self._by_uid[uid] = request
@@ -85,15 +85,15 @@
         return self._requests.get(ref)
 
     def find(self, uid: str) -> ClientRequest | None:
-        """Return a request by its id, unless it is over."""
+        """Return a request by its id, unless it is finished."""
         return self._by_uid.get(uid)
 
     def finish(self, request: ClientRequest, now_us: int) -> None:
-        """Mark a request or a call as over; its id is not to be used again yet."""
+        """Mark a request or a call as finished; its id is blocked for a while."""
         request.finished = True
         self._by_uid.pop(request.uid, None)
         self.recent_ids.add(request.uid, now_us)
 
     def remove(self, request: ClientRequest) -> None:
-        """Keep a request no more."""
+        """Remove a request from the table."""
         self._requests.take(request.ref)
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -1,4 +1,4 @@
-"""Clients on the platform's protocol: requests in, one final answer each out."""
+"""The client side of the platform's protocol: accepts requests and gives each one final answer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class PlatformFront(Factory):
-    """All clients' connections and their requests. It is the core's Front."""
+    """All clients' connections and their requests; implements the core's `Front`."""
 
     noisy = False
 
@@ -42,19 +42,19 @@
         self.idle_connections = IdleConnections(deadlines, limits)
         self.over_limit_connections = OverLimitConnections(deadlines, limits)
         self.releases = ReleaseSender(self.connections, limits, counters)
-        self.open_transports: dict[ClientConnection, None] = {}  # all, those being closed included
-        self.shutting_down = False  # the process ends: tests fail from here on
+        self.open_transports: dict[ClientConnection, None] = {}  # including those being closed
+        self.shutting_down = False  # health checks fail from here on
 
     # Connections.
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection:
-        """Take a connection, up to the clients' share of the descriptors; an idle one makes room."""
+        """Accept a connection; at the connection limit an idle one is closed for it."""
         if self.connections.full and not self.idle_connections.evict_one():
             self.counters.add("client.connections_over_the_limit")
         return ClientConnection(self)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Give a connection its slot; one for which there is none has its requests refused."""
+        """Give a connection a slot; without a free slot its requests will be refused."""
         self.counters.add("client.connections")
         self.open_transports[connection] = None
         if self.connections.full:
@@ -64,7 +64,7 @@
             self.idle_connections.add(connection)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Withdraw a lost connection's requests; a call that stands belongs to no connection."""
+        """Withdraw a lost connection's open requests; established calls do not depend on the connection."""
         self.over_limit_connections.remove(connection)
         self.idle_connections.remove(connection)
         if not self.connections.take(connection.handle):
@@ -72,40 +72,40 @@
         self._withdraw_open(connection, "client.left_by_closing")
 
     def transport_closed(self, connection: ClientConnection) -> None:
-        """Note that a connection's descriptor is closed."""
+        """Forget a connection whose descriptor is closed."""
         self.open_transports.pop(connection, None)
 
     def fail_open_requests(self, connection: ClientConnection) -> None:
-        """Withdraw what is open on a connection and answer it as failed."""
+        """Withdraw a connection's open requests and answer each as failed."""
         for request in self._withdraw_open(connection, "client.failed_by_closing"):
             connection.send_stop(request.uid, CAUSE_FAILURE)
 
     def _withdraw_open(self, connection: ClientConnection, counter: str) -> list[ClientRequest]:
-        left = list(connection.open_requests.values())
-        if not left:
-            return left
-        self.counters.add(counter, len(left))
-        self._withdraw(left)
-        return left
+        withdrawn = list(connection.open_requests.values())
+        if not withdrawn:
+            return withdrawn
+        self.counters.add(counter, len(withdrawn))
+        self._withdraw(withdrawn)
+        return withdrawn
 
     def partial_message_changed(self, connection: ClientConnection) -> None:
-        """Note that the beginning of a message has come, or its rest."""
+        """Note that a connection began or completed a partial message."""
         self.idle_connections.reclassify(connection)
 
     def heartbeat_received(self, connection: ClientConnection) -> bool:
-        """Tell whether a test is passed."""
+        """Return whether a client's health check passes: not while shutting down."""
         self.idle_connections.touch(connection)
         return not self.shutting_down
 
     def close_all(self) -> None:
-        """Close every connection once what was written has left; none makes room for another any more."""
+        """Close every connection after its output is flushed, without a bound on lingering connections."""
         for connection in list(self.open_transports):
             connection.close(CloseCause.SHUTDOWN, make_room=False)
 
     # Requests.
 
     def request_received(self, connection: ClientConnection, queued: QueuedRequest) -> None:
-        """Take a request, or say at once that it can't be served."""
+        """Offer a request to the core, or refuse it at once."""
         uid = queued.uid
         if (request := self.requests.find(uid)) is not None:
             self._duplicate_received(connection, request)
@@ -144,15 +144,15 @@
         connection.open_requests[queued.uid] = request
         self.idle_connections.touch(connection)
         request.call = self.core.offer(self, offer)
-        if request.finished:  # its client left while the core was being offered it
+        if request.finished:  # its client left while it was being offered
             self.core.withdraw(request.call)
             self.core.release(request.call)
 
     def _duplicate_received(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Turn away a request under the id of an open one, which goes on.
+        """Reject a request with the id of an open one, which goes on.
 
-        An answer to it on the same connection could not be told from the open one's, and would be a second
-        one. There the open one's answer serves for both, and the connection ends with it.
+        On the same connection a separate answer could not be told from the open request's. There the open
+        request's answer serves for both, and the connection is closed after it.
         """
         self.counters.add("client.duplicate_ids")
         if request.connection != connection.handle or request.answered:
@@ -161,32 +161,33 @@
             connection.refuse_new_requests(CloseCause.REPEATED_ID)
 
     def stops_received(self, connection: ClientConnection, uids: list[str]) -> None:
-        """Take a client's word that it gives up requests or, on any connection, ends calls."""
-        left: list[ClientRequest] = []
+        """Handle a client's cancels of its requests and its releases, which may come on any connection."""
+        cancelled: list[ClientRequest] = []
         ended: list[ClientRequest] = []
         for uid in uids:
             request = self.requests.find(uid)
             if request is not None and request.answered:
                 ended.append(request)
             elif request is not None and request.connection == connection.handle:
-                left.append(request)
+                cancelled.append(request)
             else:
-                self.counters.add("client.unknown_stops")  # it crossed the call's end
+                self.counters.add("client.unknown_stops")  # it crossed the end of the call
                 continue
             self._finish(request)
             self.idle_connections.touch(connection)
-        self._withdraw(left)
+        self._withdraw(cancelled)
         for request in ended:
-            # It may be a request given up as our answer crossed it. The call stood, so it is released
-            # towards its client like any other.
+            # This may be a cancel that crossed our answer. The call was established, so its client gets a
+            # release as for any other call.
             self.requests.remove(request)
             self.releases.send(self._remove_call(request), request.uid, CAUSE_NORMAL)
             self.core.release(request.call)
 
     def _withdraw(self, requests: list[ClientRequest]) -> None:
-        """Owe clients that have given up requests nothing more.
+        """Withdraw requests whose clients no longer wait; none is answered.
 
-        All are over before the core hears of the first: what it then begins may be an attempt of another.
+        All are marked as finished before the core learns of the first: with the capacity that this frees it
+        may start an attempt for another one of them.
         """
         for request in requests:
             if not request.finished:
@@ -200,7 +201,7 @@
         self.requests.finish(request, self.deadlines.now_us())
 
     def _remove_open_request(self, request: ClientRequest) -> ClientConnection | None:
-        """Note that one request less is open on a connection; returns the connection while it lasts."""
+        """Remove a request from its connection's open ones; return the connection unless it is closed."""
         connection = self.connections.get(request.connection)
         if connection is None:
             return None
@@ -210,21 +211,21 @@
             connection.has_served_call = True
         self.idle_connections.touch(connection)
         if connection.state is ConnectionState.REFUSING:
-            self.deadlines.after(0, connection.close_if_done)  # behind the answer, which is not written yet
+            self.deadlines.after(0, connection.close_if_done)  # after the answer, which is not written yet
         return connection
 
     def _remove_call(self, request: ClientRequest) -> ClientConnection | None:
-        """Note that one call less stands on a connection; returns the connection while it lasts."""
+        """Count a call as ended on its connection; return the connection unless it is closed."""
         connection = self.connections.get(request.connection)
         if connection is not None:
             connection.established_calls -= 1
             self.idle_connections.touch(connection)
         return connection
 
-    # The core's Front.
+    # Methods of the core's `Front`.
 
     def answered(self, ref: int, body: object) -> None:
-        """Pass on an answer with the server's description."""
+        """Pass on the server's acceptance with its session description."""
         request = self.requests.get(ref)
         if request is None or request.finished:
             return
@@ -234,11 +235,11 @@
             self.releases.send_waiting(connection)
 
     def refused(self, ref: int, stay_away_us: int) -> None:
-        """Turn a client away."""
+        """Refuse a request; its client may retry after `stay_away_us`."""
         self._send_final_stop(ref, CAUSE_REFUSED, stay_away_us)
 
     def failed(self, ref: int, late: bool) -> None:
-        """Tell a client of a failure."""
+        """Answer a request as failed."""
         self._send_final_stop(ref, CAUSE_FAILURE, 0)
 
     def _send_final_stop(self, ref: int, cause: int, stay_away_us: int) -> None:
@@ -251,10 +252,10 @@
             connection.send_stop(request.uid, cause, stay_away_us)
 
     def progressed(self, ref: int) -> None:
-        """Say nothing: progress means nothing on this wire."""
+        """Do nothing: this protocol has no progress messages."""
 
     def released(self, ref: int, outcome: Outcome) -> None:
-        """Tell a client that its call is over, on its connection, another, or the next that is served."""
+        """Send the release of a call to its client (see `ReleaseSender`)."""
         request = self.requests.get(ref)
         if request is None or request.finished:
             return
@@ -264,19 +265,20 @@
         self.releases.send(self._remove_call(request), request.uid, cause)
 
     def still_waiting(self, ref: int) -> bool:
-        """Read what the client has sent up to now, and tell whether it still waits for its answer."""
+        """Read the client's pending input, and return whether it still waits for an answer."""
         request = self.requests.get(ref)
         if request is None:
             return False
         connection = self.connections.get(request.connection)
-        # In the turn in which it was read, all that its client had sent was read just before it was offered.
+        # While a request is being offered, its client's input was read just before.
         if connection is not None and (request.call or connection.poll_due):
             connection.poll_input()
         if request.finished:
-            self.core.withdraw(request.call)  # it may be one of many that left together
+            # Several requests may be withdrawn together; the core may not have been told of this one yet.
+            self.core.withdraw(request.call)
         return not request.finished
 
     def inherited_call_released(self, uid: str, cause: int) -> None:
-        """Tell the clients that a call is over which stood before this process began."""
+        """Send the release of a call that an earlier process set up."""
         if self.requests.find(uid) is None and not self.recent_ids.contains(uid, self.deadlines.now_us()):
             self.releases.send(None, uid, cause)
--- a/bitternbeam/net/platform/idle_connections.py
+++ b/bitternbeam/net/platform/idle_connections.py
@@ -1,4 +1,4 @@
-"""Which clients' connections are idle, for how long they may be, and which of them makes room."""
+"""Idle clients' connections: their time-outs, and which one is closed when the limit is reached."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from bitternbeam.net.platform.client_requests import CloseCause, ConnectionState
 from bitternbeam.tables.deadlines import Deadlines
 
-ConnectionOrder = OrderedDict[ClientConnection, None]  # the longest idle first
-MAX_EVICTION_TRIES = 8  # connections that turn out to be in use, looked at for one new connection
+ConnectionOrder = OrderedDict[ClientConnection, None]  # longest idle first
+MAX_EVICTION_TRIES = 8  # candidates polled per new connection; each may turn out to be in use
 
 
 class IdleConnections:
-    """The connections with no request open on them, by kind, the longest idle first.
+    """The connections without an open request, by kind, longest idle first.
 
-    Before one is closed, what its client has sent up to now is read: a request that has arrived is answered.
+    Before a connection is closed its pending input is read, so that a request that has arrived is answered.
     """
 
     def __init__(self, deadlines: Deadlines, limits: Limits) -> None:
         self.deadlines = deadlines
         self.limits = limits
-        self.unused: ConnectionOrder = OrderedDict()  # has sent nothing of use
-        self.idle: ConnectionOrder = OrderedDict()  # nothing is open on it now
+        self.unused: ConnectionOrder = OrderedDict()  # has sent no valid message
+        self.idle: ConnectionOrder = OrderedDict()  # was used before; has neither requests nor calls
         self.with_calls: ConnectionOrder = (
             OrderedDict()
-        )  # calls that came on it stand; their releases may go elsewhere
-        self.with_partial_message: ConnectionOrder = OrderedDict()  # the beginning of a message has come
-        self._order_of: dict[ClientConnection, ConnectionOrder] = {}  # where each candidate stands
+        )  # has established calls, whose releases can go to another connection
+        self.with_partial_message: ConnectionOrder = OrderedDict()  # part of a message was received
+        self._order_of: dict[ClientConnection, ConnectionOrder] = {}  # the kind of each candidate
 
     def add(self, connection: ClientConnection) -> None:
-        """Take a new connection, and close it once nothing has been open on it for long."""
+        """Add a new connection, which is closed when it is idle for too long."""
         self.reclassify(connection)
         self._check_idle(connection)
 
     def touch(self, connection: ClientConnection) -> None:
-        """Note that something of use came or went on a connection: its idle time begins anew."""
+        """Record use of a connection: its idle time starts again."""
         connection.has_been_used = True
         connection.idle_since_us = self.deadlines.now_us()
         self.reclassify(connection)
@@ -48,14 +48,14 @@
             connection.idle_timer.cancel()
 
     def evict_one(self) -> bool:
-        """Close the connection that is missed least; False if a request is open on each of them."""
+        """Close the best candidate for eviction; False if all connections are in use."""
         for _ in range(MAX_EVICTION_TRIES):
             if (victim := self._next_candidate()) is None:
                 break
             was_half_read = victim.has_partial_message
             victim.poll_input()
             if victim.state in (ConnectionState.CLOSING, ConnectionState.CLOSED):
-                return True  # its client has left
+                return True  # its client had closed it
             if victim.busy:
                 self.reclassify(victim)
             elif victim.has_partial_message == was_half_read:
@@ -64,11 +64,12 @@
         return False
 
     def _next_candidate(self) -> ClientConnection | None:
-        """Return the longest idle connection of the kind that is missed least.
+        """Return the connection to evict next, or None.
 
-        Those that connect and say nothing, or hold on after a call, would lock the usual clients out. But
-        one just made is not silent: its request is on its way, and goes behind those that had their answer.
-        A release may go elsewhere, a request in the middle of its sending may not.
+        Clients that connect and send nothing, or keep connections open after a call, must not lock others
+        out, so these go first. A new connection without input is no candidate before others that had their
+        answer: its request is on its way. Connections with calls come later, as a release can go to another
+        connection; those with a partial message last, as the rest of a request cannot.
         """
         silent = next(iter(self.unused), None)
         young_us = self.deadlines.now_us() - self.limits.client_young_us
@@ -78,7 +79,7 @@
         return next((next(iter(order)) for order in orders if order), None)
 
     def reclassify(self, connection: ClientConnection) -> None:
-        """Sort a connection anew, behind the others of its kind; one that is in use is no candidate."""
+        """Move a connection to the end of its current kind, or remove it if it is in use."""
         self._discard(connection)
         if connection.busy or connection.state is not ConnectionState.OPEN:
             return
@@ -95,7 +96,7 @@
         if (order := self._order_of.pop(connection, None)) is not None:
             del order[connection]
 
-    # Idle for too long.
+    # Idle time-outs.
 
     def _check_idle(self, connection: ClientConnection) -> None:
         if self._idle_deadline_us(connection) <= self.deadlines.now_us():
@@ -112,7 +113,7 @@
         return self.limits.client_idle_us if connection.has_been_used else self.limits.client_silent_us
 
     def _idle_deadline_us(self, connection: ClientConnection) -> int:
-        """Return when a connection has been idle for too long, as it is used now."""
+        """Return the time at which a connection's idle time-out ends."""
         wait_us = self._idle_timeout_us(connection)
         if connection.busy or connection.established_calls:
             return self.deadlines.now_us() + wait_us
@@ -129,18 +130,18 @@
 
 
 class OverLimitConnections:
-    """New connections for which there was no room: each has its first requests refused, and is closed.
+    """Connections accepted beyond the limit: their requests are refused, then they are closed.
 
-    Closed at once instead, a request that is on its way would be lost without an answer.
+    Closing them at once would lose a request that is on its way without an answer.
     """
 
     def __init__(self, deadlines: Deadlines, limits: Limits) -> None:
         self.deadlines = deadlines
         self.limits = limits
-        self.connections: dict[ClientConnection, None] = {}  # the oldest first
+        self.connections: dict[ClientConnection, None] = {}  # oldest first
 
     def add(self, connection: ClientConnection) -> None:
-        """Take a connection; past the limit the oldest makes room, with what has come on it refused."""
+        """Add a connection; past `client_over_limit` the oldest is closed after its requests are refused."""
         connection.refuse_new_requests(CloseCause.OVER_LIMIT)
         if len(self.connections) >= self.limits.client_over_limit:
             self._refuse_and_close(next(iter(self.connections)))
--- a/bitternbeam/net/platform/json_lines.py
+++ b/bitternbeam/net/platform/json_lines.py
@@ -1,4 +1,4 @@
-"""JSON lines over TCP, with peers that send too much, read too little or talk nonsense."""
+"""JSON lines over TCP, guarded against peers that send too much, read too slowly or send garbage."""
 
 from __future__ import annotations
 
@@ -24,14 +24,13 @@
 
 @implementer(IPushProducer, IHalfCloseableProtocol)
 class JsonLines(LineReceiver):
-    """One connection that carries a JSON object a line.
+    """A connection that carries one JSON object per line.
 
-    Each line is parsed as LineReceiver cuts it from its buffer, a copy, as json reads no memoryview: that
-    costs 0.3 of the 2.7 microseconds of a set-up. Nothing else is copied.
+    LineReceiver copies each line from its buffer, as json cannot parse a memoryview; the copy takes 0.3 of a
+    set-up's 2.7 microseconds. Nothing else is copied.
 
-    Danger: after a line that is too long or is no object there is no telling where the next message
-    begins, and reading on to look for it costs as much as the peer cares to send. So it ends the
-    connection, at once.
+    An overlong or malformed line ends the connection at once: where the next message begins is unknown, and
+    searching for it would cost as much as the peer chooses to send.
     """
 
     delimiter = b"\n"
@@ -45,17 +44,17 @@
         self.MAX_LENGTH = limits.line_bytes  # LineReceiver's name
         self.stall_timer: Deadline | None = None
         self.is_open = False
-        self.lingering_close: LingeringClose | None = None  # from `close_gracefully` on
+        self.lingering_close: LingeringClose | None = None  # set by `close_gracefully`
         self.bytes_read = 0
 
     def connectionMade(self) -> None:
-        """Send small messages at once, and notice a peer that does not read them."""
+        """Disable Nagle's algorithm, and watch for a peer that does not read."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Drop the watch on the peer's reading."""
+        """Cancel the timers."""
         self.is_open = False
         if self.stall_timer:
             self.stall_timer.cancel()
@@ -63,30 +62,30 @@
             self.lingering_close.connection_closed()
 
     def readConnectionLost(self) -> None:
-        """Take the peer's end of its output for the end of the connection, at once."""
+        """Treat the peer's half-close as a close."""
         self.transport.connectionLost(connectionDone)
 
     def writeConnectionLost(self) -> None:
-        """Go on with a graceful close: all of our output has been sent."""
+        """Continue a graceful close: all output has been sent."""
         if self.lingering_close:
             self.lingering_close.output_closed()
 
     def pauseProducing(self) -> None:
-        """Give a peer that does not read some time, then cut it off: its backlog would fill the memory.
+        """Start the time-out for a peer that does not read, whose backlog would otherwise fill the memory.
 
-        The transport asks for this again at each write while it holds too much; the first one counts.
+        The transport calls this at each write while its buffer is full; the time-out starts at the first.
         """
         if self.stall_timer is None:
             self.stall_timer = self.deadlines.after(self.limits.stalled_us, self._abort_stalled)
 
     def resumeProducing(self) -> None:
-        """Go on: the peer reads again."""
+        """Cancel the time-out: the peer reads again."""
         if self.stall_timer:
             self.stall_timer.cancel()
             self.stall_timer = None
 
     def stopProducing(self) -> None:
-        """Nothing is produced by itself."""
+        """Do nothing: messages are only sent on demand."""
 
     def _abort_stalled(self) -> None:
         self.counters.add(f"{self.name}.stalled")
@@ -94,7 +93,7 @@
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take bytes, until the connection is dropped or closed."""
+        """Parse received bytes, until the connection is dropped or closed."""
         self.bytes_read += len(data)
         if self.lingering_close:
             self.lingering_close.input_received(len(data))
@@ -103,52 +102,52 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Tell whether the beginning of a message has come and its end has not."""
+        """Whether part of a message has been received."""
         return self.is_open and bool(self._buffer)
 
     def read_pending(self) -> bool:
-        """Read once, without waiting, what the kernel holds, and handle it as always; True if there was any.
+        """Read once from the socket without blocking, and handle what was read; True if there was any.
 
-        For whoever is about to close a connection by its own choice: a request that has arrived is to be
-        answered, not thrown away. The peer's end, or an error, is left for the reactor to find.
+        Called before this side closes a connection, so that a request that has arrived is answered rather
+        than discarded. The peer's close, or an error, is left for the reactor to find.
         """
         before = self.bytes_read
         if self.is_open and self.transport.connected:
             self.transport.doRead()
         return self.bytes_read > before
 
-    def close_gracefully(self, why: str, make_room: bool = True) -> None:
-        """Close once what was written has left, so that the peer can read all of it (see lingering_close.py).
+    def close_gracefully(self, cause: str, make_room: bool = True) -> None:
+        """Close so that the peer can read all pending output (see lingering_close.py).
 
-        Nothing is handled that comes from here on; `connectionLost` follows within `limits.stalled_us` and
-        `limits.linger_us`. Callers that close by their own choice call `read_pending` just before, and keep
-        the connection if that brought something. Of more than `limits.linger_connections` the oldest is
-        cut off, unless make_room is false: where no new connection will need the descriptors.
+        Later input is discarded; `connectionLost` follows within `limits.stalled_us` plus `limits.linger_us`.
+        Callers first call `read_pending`, and keep the connection if it returned data. If more than
+        `limits.linger_connections` linger the oldest is cut off; with make_room false none is, for when no
+        new connection will need the descriptors.
         """
         if self.lingering_close or not self.transport.connected or self.transport.disconnecting:
             return
         self.is_open = False
         self.clearLineBuffer()
-        self.counters.add(f"{self.name}.closed.{why}")
+        self.counters.add(f"{self.name}.closed.{cause}")
         if self.stall_timer:
             self.stall_timer.cancel()
         self.lingering_close = LingeringClose(self.transport, self.deadlines, self.limits, self.counters)
         self.lingering_close.start(make_room)
 
-    def drop(self, why: str) -> None:
-        """End a connection that is of no further use, unread bytes and all."""
+    def drop(self, cause: str) -> None:
+        """Abort the connection and discard unread input."""
         if self.is_open:
             self.is_open = False
             self.clearLineBuffer()
-            self.counters.add(f"{self.name}.dropped.{why}")
+            self.counters.add(f"{self.name}.dropped.{cause}")
             self.transport.abortConnection()
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Read no further: an endless line costs no more than this."""
+        """Drop the connection: reading stops at the length limit."""
         self.drop("overlong_line")
 
     def lineReceived(self, line: bytes) -> None:
-        """Parse a line and hand it on."""
+        """Parse a line and handle its message."""
         if not self.is_open or not line.strip():
             return
         try:
@@ -162,11 +161,11 @@
             self.message_received(message)
 
     def message_received(self, message: Message) -> None:
-        """Take a message; its `meta`, if present, is an object."""
+        """Handle a message; its `meta`, if present, is an object."""
         raise NotImplementedError
 
     def invalid_line_received(self, line: bytes) -> None:
-        """Take a line that is no JSON object, or whose `meta` is none."""
+        """Handle a line that is no JSON object, or whose `meta` is none."""
         self.drop("bad_line")
 
     def send(self, message: Message) -> None:
@@ -176,13 +175,13 @@
 
 
 def message_uid(message: Message) -> str:
-    """Return the id of a message's call; empty if there is none to go by."""
+    """Return a message's call id; empty if it has none."""
     uid = message.get("uid")
     return uid if isinstance(uid, str) else ""
 
 
 def parse_number(meta: Message, name: str) -> float | None:
-    """Return a field that is a number, or a string that holds one; None if it is neither."""
+    """Return a field that is a number or a string that holds one; None if it is neither or too large."""
     value = meta.get(name)
     if isinstance(value, bool) or not isinstance(value, (str, int, float)):
         return None
--- a/bitternbeam/net/platform/recent_ids.py
+++ b/bitternbeam/net/platform/recent_ids.py
@@ -1,4 +1,4 @@
-"""The ids of requests and calls that were over a short while ago."""
+"""The ids of recently finished requests and calls."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class RecentIds:
-    """Ids that are not to be used again yet.
+    """Ids that must not be used again yet.
 
-    An answer or a release of the old attempt may still come, and a new attempt under the same id could not
-    be told from it at the server; nor would the pause after an attempt in doubt be kept.
+    An answer or a release of the old attempt may still arrive, and a server could not tell a new attempt
+    with the same id from the old one. The pause after an attempt in doubt would not be kept either.
     """
 
     def __init__(self, retention_us: int, max_ids: int) -> None:
-        """Keep each id for keep_us, and at most so many of them: the oldest goes first."""
+        """Keep each id for `retention_us`, and at most `max_ids`; past that the oldest is dropped."""
         self.retention_us = retention_us
         self.max_ids = max_ids
         self._expiry_us: OrderedDict[str, int] = OrderedDict()
@@ -22,7 +22,7 @@
         return len(self._expiry_us)
 
     def add(self, uid: str, now_us: int) -> None:
-        """Note an id whose request or call is over now."""
+        """Record an id whose request or call has just finished."""
         self._expire(now_us)
         self._expiry_us[uid] = now_us + self.retention_us
         self._expiry_us.move_to_end(uid)
@@ -30,7 +30,7 @@
             self._expiry_us.popitem(last=False)
 
     def contains(self, uid: str, now_us: int) -> bool:
-        """Tell whether an id was over so short a while ago."""
+        """Return whether an id's request or call finished within the retention time."""
         return self._expiry_us.get(uid, now_us) > now_us
 
     def _expire(self, now_us: int) -> None:
