--- a/bitternbeam/net/platform/discovery/__init__.py
+++ b/bitternbeam/net/platform/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the numbered list of servers, followed over one watch."""
+"""Discovery: follows the numbered events of the server list over one watch connection."""
--- a/bitternbeam/net/platform/discovery/connection.py
+++ b/bitternbeam/net/platform/discovery/connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery: its lines, read and handed to the watch that owns it."""
+"""One connection to discovery: parses its lines and passes them to the watch that owns it."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 class ConnectionOwner(Protocol):
-    """The watch, as its connection sees it; it tells a connection of its own from an earlier one."""
+    """The watch as its connection sees it; it ignores connections that it has replaced."""
 
-    def event_received(self, connection: DiscoveryConnection, news: Heartbeat | ListEvent) -> None:
-        """Take what one line says."""
+    def event_received(self, connection: DiscoveryConnection, update: Heartbeat | ListEvent) -> None:
+        """Handle one line's event or heartbeat."""
         ...
 
     def connection_closed(self, connection: DiscoveryConnection) -> None:
-        """Take note that a connection has ended, or is given up; may be said more than once."""
+        """Note that a connection has ended or was dropped; may be called more than once."""
         ...
 
 
 class DiscoveryConnection(JsonLines):
-    """A connection to discovery. What stands unfinished when it ends is no line and is never read."""
+    """A connection to discovery; an incomplete last line is ignored."""
 
     def __init__(
         self, owner: ConnectionOwner, deadlines: Deadlines, limits: Limits, counters: Counters
@@ -42,36 +42,36 @@
         self.owner = owner
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Tell the owner."""
+        """Notify the owner."""
         super().connectionLost(reason)
         self.owner.connection_closed(self)
 
-    def drop(self, why: str) -> None:
-        """End it at once and tell the owner, which need not wait for the close."""
-        super().drop(why)
+    def drop(self, cause: str) -> None:
+        """Abort the connection and notify the owner without waiting for the close."""
+        super().drop(cause)
         self.owner.connection_closed(self)
 
     def ask(self, revision: int) -> None:
-        """Ask for every event after that number."""
+        """Ask for all events after a revision."""
         self.transport.write(f"watch {revision}\n".encode())
 
     def message_received(self, message: Message) -> None:
-        """Read an event, or a number in an object."""
+        """Handle an event, or a heartbeat in an object."""
         try:
-            news = parse_message(message)
+            update = parse_message(message)
         except EventError as error:
             self._reject_event(error)
             return
-        self.owner.event_received(self, news)
+        self.owner.event_received(self, update)
 
     def invalid_line_received(self, line: bytes) -> None:
-        """Read a number alone."""
+        """Handle a heartbeat that is a bare number."""
         try:
-            news = parse_heartbeat(line)
+            update = parse_heartbeat(line)
         except EventError:
             super().invalid_line_received(line)
             return
-        self.owner.event_received(self, news)
+        self.owner.event_received(self, update)
 
     def _reject_event(self, error: EventError) -> None:
         self.counters.add(f"discovery.bad_events.{error.fault.value}")
--- a/bitternbeam/net/platform/discovery/events.py
+++ b/bitternbeam/net/platform/discovery/events.py
@@ -1,7 +1,7 @@
-"""Discovery's wire: numbered events and heartbeats, decoded into typed values. Pure: no I/O, no clock.
+"""Parses discovery's events and heartbeats into typed values. Pure: no I/O, no clock.
 
-An event is `{"rev": N, "pool": {"full": bool, "servers": [...]}}`; a heartbeat is the last number alone, bare
-or as `{"rev": N}`. Numbers may be written as strings, as Python's `int` reads them.
+An event is `{"rev": N, "pool": {"full": bool, "servers": [...]}}`; a heartbeat is the last revision alone,
+as a bare number or as `{"rev": N}`. Numbers may also be strings that Python's `int` accepts.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class EventFault(Enum):
-    """What is wrong with an event; the value is the last part of its counter's name."""
+    """The kind of fault in an event; the value is the last part of a counter's name."""
 
     MISSING = "missing"
     TYPE = "type"
@@ -24,7 +24,7 @@
 
 
 class EventError(ValueError):
-    """An event that cannot be read: the kind of fault, its place in the message, and the cause in words."""
+    """An event is malformed: the kind of fault, its path in the message, and the cause in words."""
 
     def __init__(self, fault: EventFault, path: str, cause: str) -> None:
         super().__init__(f"{path}: {cause}")
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The number of the last event that discovery has."""
+    """The revision of the last event that discovery has."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One server of the list; `started_us` is the Unix time of a late start, or 0."""
+    """One server of the list; `started_us` is the Unix time of its last restart, or 0."""
 
     server: str
     host: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListEvent:
-    """A numbered change of the list, or with `full` the whole of it."""
+    """A numbered change of the server list, or with `full` the complete list."""
 
     revision: int
     full: bool
@@ -62,7 +62,7 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Split an address of the form host:port; raises ValueError."""
+    """Split an address of the form host:port; raises ValueError for any other."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit():
         raise ValueError(f"{text!r} is not host:port")
@@ -70,12 +70,12 @@
 
 
 def parse_heartbeat(line: bytes) -> Heartbeat:
-    """Read a line that holds a number alone; raises EventError."""
+    """Parse a line that holds a bare number; raises EventError."""
     return Heartbeat(_parse_integer(line, "line"))
 
 
 def parse_message(message: Any) -> Heartbeat | ListEvent:
-    """Read one JSON value; raises EventError, which names the first fault."""
+    """Parse one JSON value; raises EventError for the first fault."""
     revision = _parse_integer(_field(message, "rev", "event"), "rev")
     if "pool" not in message:
         return Heartbeat(revision)
@@ -89,44 +89,44 @@
     return ListEvent(revision, full, entries)
 
 
-def _parse_server(server: Any, place: str) -> ServerEntry:
-    host, port = _parse_address(_field(server, "addr", place), f"{place}.addr")
-    state = _parse_state(_field(server, "state", place), f"{place}.state")
-    started_ms = _parse_integer(server.get("started_ms", 0), f"{place}.started_ms")
-    cell = _parse_integer(_field(server, "cell", place), f"{place}.cell")
-    name = str(_field(server, "id", place))
+def _parse_server(server: Any, path: str) -> ServerEntry:
+    host, port = _parse_address(_field(server, "addr", path), f"{path}.addr")
+    state = _parse_state(_field(server, "state", path), f"{path}.state")
+    started_ms = _parse_integer(server.get("started_ms", 0), f"{path}.started_ms")
+    cell = _parse_integer(_field(server, "cell", path), f"{path}.cell")
+    name = str(_field(server, "id", path))
     return ServerEntry(name, host, port, cell, state, started_ms * 1000)
 
 
-def _field(holder: Any, key: str, place: str) -> Any:
-    if not isinstance(holder, dict):
-        raise EventError(EventFault.TYPE, place, "not an object")
-    if key not in holder:
-        raise EventError(EventFault.MISSING, f"{place}.{key}", "missing")
-    return holder[key]
+def _field(parent: Any, key: str, path: str) -> Any:
+    if not isinstance(parent, dict):
+        raise EventError(EventFault.TYPE, path, "not an object")
+    if key not in parent:
+        raise EventError(EventFault.MISSING, f"{path}.{key}", "missing")
+    return parent[key]
 
 
-def _parse_integer(value: Any, place: str) -> int:
+def _parse_integer(value: Any, path: str) -> int:
     try:
         return int(value)
     except TypeError:
-        raise EventError(EventFault.TYPE, place, "not a number") from None
-    except (ValueError, OverflowError):  # the latter for an infinite one, which JSON's readers let pass
-        raise EventError(EventFault.VALUE, place, "not a whole number") from None
+        raise EventError(EventFault.TYPE, path, "not a number") from None
+    except (ValueError, OverflowError):  # OverflowError for infinity, which Python's json accepts
+        raise EventError(EventFault.VALUE, path, "not a whole number") from None
 
 
-def _parse_address(value: Any, place: str) -> tuple[str, int]:
+def _parse_address(value: Any, path: str) -> tuple[str, int]:
     if not isinstance(value, str):
-        raise EventError(EventFault.TYPE, place, "not a string")
+        raise EventError(EventFault.TYPE, path, "not a string")
     try:
         return split_address(value)
     except ValueError:
-        raise EventError(EventFault.VALUE, place, "not host:port") from None
+        raise EventError(EventFault.VALUE, path, "not host:port") from None
 
 
-def _parse_state(value: Any, place: str) -> SwitchState:
+def _parse_state(value: Any, path: str) -> SwitchState:
     if not isinstance(value, str):
-        raise EventError(EventFault.TYPE, place, "not a string")
+        raise EventError(EventFault.TYPE, path, "not a string")
     if value not in STATES:
-        raise EventError(EventFault.VALUE, place, "unknown state")
+        raise EventError(EventFault.VALUE, path, "unknown state")
     return STATES[value]
--- a/bitternbeam/net/platform/discovery/sequence.py
+++ b/bitternbeam/net/platform/discovery/sequence.py
@@ -1,4 +1,4 @@
-"""The order of discovery's events: which are news, which repeat others, and where one is missing. Pure."""
+"""The order of discovery's events: detects repeated and missing ones. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 
 
 class EventOrder(Enum):
-    """How an event or a heartbeat stands to what has been taken."""
+    """How an event or a heartbeat relates to the last event applied."""
 
-    NEXT = "next"  # the change that follows on the last one
-    FULL_LIST = "whole"  # a newer whole list, whatever was missed before it
-    REPEATED = "repeated"  # taken before, or overtaken by a newer whole list
-    CURRENT = "current"  # a heartbeat of the number that was taken last
-    BEHIND = "behind"  # a heartbeat of a lower number: its sender has yet to catch up
-    GAP = "gap"  # one or more before it are missing
+    NEXT = "next"  # the change that follows the last one
+    FULL_LIST = "whole"  # a newer complete list; events before it need not be known
+    REPEATED = "repeated"  # applied before, or superseded by a complete list
+    CURRENT = "current"  # a heartbeat with the last applied revision
+    BEHIND = "behind"  # a heartbeat with a lower revision: its sender lags behind
+    GAP = "gap"  # at least one earlier event is missing
 
 
 class EventSequence:
-    """The number of the last event taken; 0 before the first, which carries the whole list.
+    """The revision of the last event applied; 0 before the first, which carries the complete list.
 
-    Numbers only grow for as long as this process lives, at whatever address discovery is, so a whole list
-    under a number that was passed is an old one. Taken, it would bring servers back that are gone.
+    Revisions only grow during the life of this process, also across addresses of discovery. So a complete
+    list with a lower revision is outdated, and applying it would bring removed servers back.
     """
 
     def __init__(self) -> None:
         self.revision = 0
 
-    def classify(self, news: Heartbeat | ListEvent) -> EventOrder:
-        """Place an event or a heartbeat without taking it."""
-        if isinstance(news, Heartbeat):
-            if news.revision > self.revision:
+    def classify(self, update: Heartbeat | ListEvent) -> EventOrder:
+        """Return how an event or a heartbeat relates to the last event, without applying it."""
+        if isinstance(update, Heartbeat):
+            if update.revision > self.revision:
                 return EventOrder.GAP
-            return EventOrder.CURRENT if news.revision == self.revision else EventOrder.BEHIND
-        if news.revision <= self.revision:
+            return EventOrder.CURRENT if update.revision == self.revision else EventOrder.BEHIND
+        if update.revision <= self.revision:
             return EventOrder.REPEATED
-        if news.full or self.revision == 0:
+        if update.full or self.revision == 0:
             return EventOrder.FULL_LIST
-        return EventOrder.NEXT if news.revision == self.revision + 1 else EventOrder.GAP
+        return EventOrder.NEXT if update.revision == self.revision + 1 else EventOrder.GAP
 
     def advance(self, event: ListEvent) -> ListKind:
-        """Go on to an event that is NEXT or WHOLE; returns what the core calls such a list."""
+        """Advance to an event that is NEXT or FULL_LIST; returns the core's kind of list for it."""
         kind = ListKind.CHANGES
         if self.classify(event) is EventOrder.FULL_LIST:
             kind = ListKind.COMPLETE if self.revision else ListKind.CACHED
--- a/bitternbeam/net/platform/discovery/server_list.py
+++ b/bitternbeam/net/platform/discovery/server_list.py
@@ -1,4 +1,4 @@
-"""Where the list goes: to the core, which decides by it, and to the upstream connections."""
+"""Applies server list events to the core and to the upstream connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ServerList:
-    """Hands each event of the list to the core and to the upstream side."""
+    """Applies each event of the server list to the core and to the upstream connections."""
 
     def __init__(self, core: CallControl, back: PlatformBack) -> None:
         self.core = core
@@ -18,12 +18,15 @@
     def update(self, kind: ListKind, event: ListEvent) -> None:
         """Apply one event.
 
-        The core comes first: nothing new may go to a server whose connections are being closed.
+        The core is updated first, so that it sends nothing new to a server whose connections are closed.
         """
         servers = event.servers
-        entries = [SwitchEntry(one.server, one.cell, one.state, one.started_us) for one in servers]
-        places = [
-            BookerEndpoint(one.server, one.host, one.port, one.state, one.started_us) for one in servers
+        entries = [
+            SwitchEntry(server.server, server.cell, server.state, server.started_us) for server in servers
+        ]
+        endpoints = [
+            BookerEndpoint(server.server, server.host, server.port, server.state, server.started_us)
+            for server in servers
         ]
         self.core.listed(kind, entries)
-        self.back.update_endpoints(places, complete=kind is not ListKind.CHANGES)
+        self.back.update_endpoints(endpoints, complete=kind is not ListKind.CHANGES)
--- a/bitternbeam/net/platform/discovery/watch.py
+++ b/bitternbeam/net/platform/discovery/watch.py
@@ -1,16 +1,17 @@
-"""The discovery watch: one state machine that owns the connection to discovery and its only timer.
+"""The discovery watch: a state machine that owns the connection to discovery and a single timer.
 
 docs/lifecycles.md has the table of its states and events.
 
-How late news can be (L: `Limits`, r: a round trip). Discovery counts an event as told 2 s after it broke the
-connection off, 4 s after it stopped, 4 s after a reload that moves it, and 7 s after the event at the latest.
+Delays of events (r: one round trip; limits are fields of `Limits`). Discovery counts an event as received
+2 s after it closed the connection, 4 s after it went silent, 4 s after a reload that changes its address,
+and 7 s after the event at the latest.
 
-- It breaks off: `discovery_retry_us` + r = 0.1 s. With one connect that hangs for its whole time, that and
-  another retry more: 0.7 s; with three such, 1.9 s. With one connection that comes up and stays silent:
-  0.1 + `discovery_first_line_us` + 0.1 = 1.5 s. All within 2 s.
-- It stops: `discovery_silent_us` + 0.1 s + r = 1.9 s; 3.7 s with three connects that hang, 3.3 s with a
-  connection that stays silent. All within 4 s.
-- It moves: r; 3.6 s with six connects that hang, or 2.8 s with two connections that stay silent.
+- Closed connection: `discovery_retry_us` + r = 0.1 s. A connect that times out adds its time-out and another
+  retry: 0.7 s; three of them, 1.9 s. A new connection that stays silent: 0.1 + `discovery_first_line_us`
+  + 0.1 = 1.5 s. All within 2 s.
+- Silent connection: `discovery_silent_us` + 0.1 s + r = 1.9 s; 3.7 s with three connects that time out,
+  3.3 s with a new connection that stays silent. All within 4 s.
+- Changed address: r; 3.6 s with six connects that time out, 2.8 s with two connections that stay silent.
 """
 
 from __future__ import annotations
@@ -40,22 +41,22 @@
 
 
 class WatchState(Enum):
-    """What the watch waits for."""
+    """What the watch is waiting for."""
 
     IDLE = "idle"  # not started
-    CONNECTING = "connecting"  # for a connection to come up
+    CONNECTING = "connecting"  # for a connection to be established
     ASKED = "asked"  # for the first line on it
     WATCHING = "watching"  # for the next line
-    PAUSED = "paused"  # for the next try
-    STOPPED = "stopped"  # for nothing, for good
+    PAUSED = "paused"  # for the next reconnect
+    STOPPED = "stopped"  # final
 
 
 class DiscoveryWatch:
-    """Follows discovery and hands its events to `update`, in order and each once.
+    """Follows discovery and passes its events to `update`, in order and each once.
 
-    An event counts as told soon after discovery stops or breaks off, heard or not. So a connection on which
-    no line comes is given up soon, and a new one is tried for without growing pauses. Only a whole line that
-    can be read shows that discovery speaks: bytes that never end in one do not.
+    Discovery counts an event as received soon after it goes silent or closes the connection (see above). So
+    a silent connection is dropped soon, and reconnects have a constant delay without backoff. Only complete,
+    valid lines count as a sign of life; other bytes do not.
     """
 
     def __init__(
@@ -77,50 +78,50 @@
         self.sequence = EventSequence()
         self.state = WatchState.IDLE
         self._connection: DiscoveryConnection | None = None
-        self._pending_connect: Deferred[Any] | None = None  # the connection that is being made
-        self._timer: Deadline | None = None  # of the state; none outlives it
+        self._pending_connect: Deferred[Any] | None = None  # the connect in progress
+        self._timer: Deadline | None = None  # of the current state
         self._on_synced: Callable[[], None] | None = None
 
     def start(self, known: dict[str, Any], on_synced: Callable[[], None] | None = None) -> None:
-        """Take what the configuration knows and connect.
+        """Apply the events in the configuration and connect.
 
-        `on_settled` is called once what came since is known, or can't be known for now. What is known was
-        written before this process began, and what discovery has told since counts as told: a request taken
-        before its first word was sent to a server that drained by then.
+        `on_synced` is called once later events are known, or can't be obtained for now. The configuration was
+        written before this process started, and events since then count as received: a request accepted
+        earlier could be sent to a server that is draining by now.
         """
         self._on_synced = on_synced
         self._apply_known(known)
         self._connect()
 
     def stop(self) -> None:
-        """Follow it no more."""
+        """Stop watching for good; `on_synced` is not called any more."""
         self._on_synced = None
         self._disconnect(lambda transport: transport.loseConnection())
         self.state = WatchState.STOPPED
 
     def move(self, address: str) -> None:
-        """Follow discovery at another address; raises ValueError and changes nothing if it is none.
+        """Follow discovery at another address; raises ValueError and changes nothing if it is malformed.
 
-        The numbering goes on, so what is asked for starts at our last event.
+        Revisions continue at the new address, so events after the last applied one are requested there.
         """
         self.host, self.port = split_address(address)
         self.counters.add("discovery.moves")
         if self.state not in (WatchState.IDLE, WatchState.STOPPED):
             self._connect()
 
-    def event_received(self, connection: DiscoveryConnection, news: Heartbeat | ListEvent) -> None:
-        """Take what one line of a connection says; nothing that an earlier connection says."""
+    def event_received(self, connection: DiscoveryConnection, line: Heartbeat | ListEvent) -> None:
+        """Handle one line of the connection; lines of replaced connections are ignored."""
         if connection is not self._connection:
             self.counters.add("discovery.stale_lines")
             return
-        order = self.sequence.classify(news)
+        order = self.sequence.classify(line)
         if order is EventOrder.GAP:
-            connection.drop("gap")  # the next connection asks for what is missing
+            connection.drop("gap")  # the next connection requests what is missing
             return
         self._enter(WatchState.WATCHING, self.limits.discovery_silent_us, self._silence_timed_out)
-        if isinstance(news, ListEvent):
-            self._apply(news, order)
-            # What else was missed comes in the same burst: only the number alone says that this was all.
+        if isinstance(line, ListEvent):
+            self._apply(line, order)
+            # Other missed events come in the same burst; only a heartbeat shows that there are no more.
             self.deadlines.after(self.limits.discovery_burst_us, self._synced)
             return
         if order is EventOrder.BEHIND:
@@ -128,16 +129,16 @@
         self._synced()
 
     def connection_closed(self, connection: DiscoveryConnection) -> None:
-        """Try anew after a pause, unless another connection has taken its place."""
+        """Reconnect after a pause, unless the connection was replaced."""
         if connection is self._connection:
             self._connection = None
             self._pause()
 
     def _apply_known(self, known: dict[str, Any]) -> None:
-        """Take the configuration's events, up to the first that is unreadable or follows on a gap.
+        """Apply the configuration's events, up to the first that is malformed or follows a gap.
 
-        Whatever is beyond is asked for: the number that the configuration names counts only as far as its
-        events were taken.
+        Later events are requested from discovery: the configuration's own revision is ignored, as its events
+        may not reach it.
         """
         for message in known.get("notices", ()):
             try:
@@ -161,20 +162,20 @@
         self.update(kind, event)
 
     def _synced(self) -> None:
-        """Tell that what is new is known, or that discovery says nothing for now."""
+        """Call `on_synced` once: recent events are known, or discovery is not available for now."""
         on_settled, self._on_synced = self._on_synced, None
         if on_settled:
             on_settled()
 
-    def _enter(self, state: WatchState, wait_us: int, due: Callable[[], None]) -> None:
-        """Go to a state whose time ends after a wait."""
+    def _enter(self, state: WatchState, wait_us: int, on_timeout: Callable[[], None]) -> None:
+        """Enter a state and call `on_timeout` after `wait_us` unless it is left before."""
         if self._timer:
             self._timer.cancel()
         self.state = state
-        self._timer = self.deadlines.after(wait_us, due)
+        self._timer = self.deadlines.after(wait_us, on_timeout)
 
     def _disconnect(self, close: Callable[[Any], None]) -> None:
-        """Let go of the timer, the connection and the one being made; nothing that they still say counts."""
+        """Drop the timer, the connection and the connect in progress; their later events are ignored."""
         timer, self._timer = self._timer, None
         connection, self._connection = self._connection, None
         attempt, self._pending_connect = self._pending_connect, None
@@ -186,7 +187,7 @@
             attempt.cancel()
 
     def _connect(self) -> None:
-        """Connect, in place of whatever connection there is or is being made."""
+        """Connect, replacing any connection or connect in progress."""
         self._disconnect(lambda transport: transport.abortConnection())
         self.state = WatchState.CONNECTING
         attempt = connect(
