--- a/bitternbeam/net/platform/idle_connections.py
+++ b/bitternbeam/net/platform/idle_connections.py
@@ -24,9 +24,7 @@
         self.limits = limits
         self.unused: ConnectionOrder = OrderedDict()  # has sent no valid message
         self.idle: ConnectionOrder = OrderedDict()  # was used before; has neither requests nor calls
-        self.with_calls: ConnectionOrder = (
-            OrderedDict()
-        )  # has established calls, whose releases can go to another connection
+        self.with_calls: ConnectionOrder = OrderedDict()  # has calls; releases can go to another connection
         self.with_partial_message: ConnectionOrder = OrderedDict()  # part of a message was received
         self._order_of: dict[ClientConnection, ConnectionOrder] = {}  # the kind of each candidate
 
--- a/tests/downstream_world.py
+++ b/tests/downstream_world.py
@@ -1,6 +1,6 @@
-"""Clients on raw sockets around the platform's front, a scripted module and a clock that stands still.
+"""The platform's front between raw client sockets, a scripted module and a manual clock.
 
-Nothing is read, accepted or due before the test says so: what a client has sent lies in the kernel so long.
+Nothing is accepted or read, and no timer runs, until the test says so; until then input stays in the kernel.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from tests.world import SETTINGS
 
 ID, ID2, ID3 = "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", "00000000000000c3"
-HUNG_S = 30  # a bound for a hung test, not a measure
+HUNG_S = 30  # only ends a hung test
 
 
 class ScriptedModule:
-    """Decides what its script says; asked of nothing, it lets requests wait."""
+    """Decides as its script says; by default requests wait."""
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
@@ -41,12 +41,12 @@
         return self.script(event)
 
     def offered_calls(self) -> list[str]:
-        """Return the ids of the calls told to it, in their order."""
+        """Return the ids of the calls offered to it, in order."""
         return [one.call for one in self.events if isinstance(one, api.NewCall)]
 
 
 class RecordingBack:
-    """Asks at the moment of writing, as every back does, and remembers what it wrote and was told."""
+    """Records what it is asked to do; like a real back it checks each attempt when it writes it."""
 
     def __init__(self) -> None:
         self.core: CallControl
@@ -62,7 +62,7 @@
             self.connect()
 
     def connect(self) -> None:
-        """Write what waits for a connection."""
+        """Write the attempts that wait for a connection."""
         self.connected = True
         while self.waiting:
             attempt = self.waiting.pop()
@@ -84,7 +84,7 @@
 
 
 class RawClient:
-    """A client whose every step is a system call of the test's own."""
+    """A client on a blocking socket that the test drives step by step."""
 
     def __init__(self, world: DownstreamWorld) -> None:
         self.world = world
@@ -92,7 +92,7 @@
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, True)
         self.messages: list[dict[str, Any]] = []
         self.partial_line = b""
-        self.ended = ""  # "end" or "reset", once the controller's side has ended
+        self.ended = ""  # "end" or "reset" once the other side has closed
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
@@ -108,7 +108,7 @@
         self.socket.close()
 
     def read(self) -> str:
-        """Take what has come, without waiting; tells how the other side has ended, if it has."""
+        """Read without blocking; return how the other side has ended, or ""."""
         self.socket.setblocking(False)
         try:
             while not self.ended:
@@ -125,19 +125,19 @@
         return self.ended
 
     def messages_about(self, uid: str) -> list[tuple[str, Any]]:
-        """Return kind and cause of each message about an id so far."""
+        """Return the kind and cause of each message about an id so far."""
         self.read()
         return [(one["kind"], one.get("reason")) for one in self.messages if one["uid"] == uid]
 
     def sync(self) -> None:
-        """Run the loop until all that was sent before has been handled."""
+        """Run the loop until everything sent before has been handled."""
         self.send(line("check", "sync", reason=0))
         count = len(self.messages_about("sync"))
         self.world.until(lambda: len(self.messages_about("sync")) > count)
 
 
 class DownstreamWorld:
-    """The front on a listening socket of the loopback, between a scripted module and a recording back."""
+    """The front on a loopback port, between a scripted module and a recording back."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
@@ -157,7 +157,7 @@
         self.address = ("127.0.0.1", self.ports[0].getHost().port)
 
     def run_loop_once(self) -> None:
-        """Run the loop once: what is due, then what the sockets have."""
+        """Run the loop once: due timers, then socket events."""
         self.clock.run_due()
         reactor.iterate(0.001)
 
@@ -168,12 +168,12 @@
             self.run_loop_once()
 
     def advance_us(self, us: int) -> None:
-        """Let time pass in which the loop does not run, then run what has fallen due, and nothing else."""
+        """Advance the clock, then run the timers that are due, without reading any socket."""
         self.clock.time_us += us
         self.clock.run_due()
 
     def connect_unaccepted(self) -> RawClient:
-        """Connect a client; its connection lies in the listen queue."""
+        """Connect a client whose connection stays in the listen queue."""
         self.clients.append(RawClient(self))
         return self.clients[-1]
 
@@ -185,19 +185,19 @@
         return client
 
     def connection_of(self, client: RawClient) -> ClientConnection:
-        """Return the front's end of a client's connection."""
+        """Return the front's side of a client's connection."""
         port = client.socket.getsockname()[1]
         ends = (*self.front.connections.values(), *self.front.over_limit_connections.connections)
         return next(one for one in ends if one.transport.getPeer().port == port)
 
     def wait_for_input(self, connection: ClientConnection) -> None:
-        """Wait until something lies unread for a connection, without running the loop."""
+        """Wait until a connection has unread input, without running the loop."""
         poll = select.poll()
         poll.register(connection.transport.fileno(), select.POLLIN)
         assert poll.poll(HUNG_S * 1000), "nothing came"
 
     def send_request(self, client: RawClient, uid: str) -> int:
-        """Send a request that the module lets wait; returns the front's handle of it."""
+        """Send a request that the module lets wait; return the front's handle for it."""
         client.send(request(uid))
         self.until(lambda: self.front.requests.find(uid))
         found = self.front.requests.find(uid)
@@ -205,14 +205,14 @@
         return found.ref
 
     def act(self, *actions: api.Action) -> None:
-        """Let the module act now."""
+        """Let the module take these actions now."""
         due, usual = api.TimerDue(0), self.module.script
         self.module.script = lambda event: list(actions) if event is due else []
         self.core.feed.put(due)
         self.module.script = usual
 
     def accept_call(self, uid: str) -> None:
-        """Send a request on and let its server answer it."""
+        """Send a request to a server and let it accept the call."""
         self.act(api.Send(uid, "s0", 0))
         assert self.core.stood(self.back.attempts[-1], "v=1")
 
@@ -226,16 +226,16 @@
 
 
 def line(kind: str, uid: str, **more: Any) -> bytes:
-    """Return a message as it goes over the wire."""
+    """Return an encoded message."""
     return json.dumps({"kind": kind, "uid": uid, "meta": {}, **more}).encode() + b"\n"
 
 
 def request(uid: str, **odd: Any) -> bytes:
-    """Return a request, with some fields other than they should be."""
+    """Return an encoded request, with some fields changed."""
     meta = {"class": "low", "left": "3000", "key": "n", "extras": "dest:0;width:1;via:-1"} | odd
     return line("launch", uid, meta=meta, body="v=0")
 
 
 def cancel(uid: str) -> bytes:
-    """Return the word that a request is given up, or that a call ends."""
+    """Return the message that cancels a request or releases a call."""
     return line("stop", uid, reason=16)
--- a/tests/held_connects.py
+++ b/tests/held_connects.py
@@ -1,4 +1,4 @@
-"""A barrier before connections to servers: they come up when the test says so, over real sockets."""
+"""Delays connects to servers until the test lets them complete, over real sockets."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class HeldConnects:
-    """Connections that were asked for and wait for the test."""
+    """Connects that wait until the test completes or fails them."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Hold every connection to a server from now on."""
+        """Hold every connect to a server from now on."""
         self.waiting: list[Callable[[], object]] = []
         self.failing: list[Callable[[], object]] = []
         monkeypatch.setattr(connection_pool, "connect", self._held)
@@ -31,16 +31,16 @@
         return made
 
     def wait_for(self, number: int = 1) -> None:
-        """Run until so many connections wait."""
+        """Run the reactor until so many connects wait."""
         until(lambda: len(self.waiting) >= number)
 
     def complete_all(self) -> None:
-        """Let those that wait come up."""
+        """Complete all waiting connects."""
         waiting, self.waiting, self.failing = self.waiting, [], []
         for go in waiting:
             go()
 
     def fail_first(self) -> None:
-        """Let the one that waits longest run out of its time."""
+        """Fail the oldest waiting connect with a time-out."""
         self.waiting.pop(0)
         self.failing.pop(0)()
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""A client that reads late: the watch on it ends when it has read."""
+"""A client that reads late: its stall time-out is cancelled once it has read."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @pytest.mark.parametrize("reads", [False, True])
-def test_who_reads_late_is_not_cut_off_by_a_watch_on_its_past(world: DownstreamWorld, reads: bool) -> None:
-    # Each write over the transport's mark set a watch of its own, and only the last one was called off.
+def test_a_client_that_reads_late_is_not_cut_off(world: DownstreamWorld, reads: bool) -> None:
+    # Each write past the transport's high-water mark started a time-out, and only the last was cancelled.
     client = world.connect_client()
     world.send_request(client, ID)
     connection = world.connection_of(client)
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -1,4 +1,4 @@
-"""The discovery watch over loopback, against scripted discovery services."""
+"""The discovery watch over loopback, against scripted discovery servers (boards)."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class WatchPeer(LineOnlyReceiver):
-    """One connection of a scripted board."""
+    """The server side of one connection to a scripted board."""
 
     delimiter = b"\n"
     transport: Any
@@ -53,7 +53,7 @@
 
 
 class Board:
-    """A scripted board: every connection made to it."""
+    """A scripted discovery server that records every connection made to it."""
 
     def __init__(self, port: int = 0) -> None:
         self.peers: list[WatchPeer] = []
@@ -64,7 +64,7 @@
         self.address = f"127.0.0.1:{self.ports[0].getHost().port}"
 
     def requested(self, count: int = 1) -> list[bytes]:
-        """Wait for so many connections and return what was asked on the last."""
+        """Wait for so many connections and return the lines received on the last."""
         until(lambda: len(self.peers) >= count and self.peers[-1].received_lines)
         return self.peers[-1].received_lines
 
@@ -85,7 +85,7 @@
 
 
 class WatchHarness:
-    """The client under test and what it has brought to the core."""
+    """A discovery watch with a core and a back behind it."""
 
     def __init__(self, board: Board, limits: Limits) -> None:
         deadlines, self.counters = parts()
@@ -116,7 +116,7 @@
     one.back.close_all()
 
 
-def test_events_come_once_and_in_order(client: WatchHarness, boards: list[Board]) -> None:
+def test_events_are_applied_once_and_in_order(client: WatchHarness, boards: list[Board]) -> None:
     desk = boards[0].peers[0]
     desk.transport.write(desk.send_event(4, "draining") + b"4\n")  # written twice
     desk.send_event(5, "up", booker="s1")
@@ -170,23 +170,24 @@
         send_endless_line,
     ],
 )
-def test_what_a_faulty_board_did_not_tell_is_asked_for_again(
+def test_events_missed_by_a_board_fault_are_requested_again(
     client: WatchHarness, boards: list[Board], fault: Any
 ) -> None:
-    # Whether told or not it counts as told soon: sends to a booker that drains would break a rule.
+    # Discovery soon counts the event as received in any case; later sends to a draining booker are faults.
     fault(boards[0].peers[0])
     assert boards[0].requested(2) == [b"watch 3"]
     boards[0].peers[1].send_event(4, "draining")
     client.wait_for_state(SwitchState.DRAINING)
 
 
-def test_the_times_leave_room_within_the_rules() -> None:
-    # It breaks off: told 2 s later. It stops: 4 s. It moves: 4 s. Within each, another fault may come.
+def test_the_time_outs_fit_the_rules() -> None:
+    # Events count as received 2 s after a closed connection, 4 s after silence, 4 s after a changed address.
+    # Within each of these times another fault must fit.
     limits = Limits()
     hangs = limits.discovery_connect_us + limits.discovery_retry_us
     mute = limits.discovery_first_line_us + limits.discovery_retry_us
     round_trips = 100_000
-    assert limits.discovery_silent_us > 1_500_000  # it says a number every second
+    assert limits.discovery_silent_us > 1_500_000  # a heartbeat comes every second
     assert limits.discovery_first_line_us > 1_200_000
     for told_us, noticed_us in (
         (2_000_000, limits.discovery_retry_us),
@@ -195,7 +196,7 @@
     ):
         left_us = told_us - noticed_us - round_trips
         assert 3 * hangs <= left_us and mute <= left_us
-    # As strict as before the first line had a time of its own.
+    # As strict as without a separate time-out for the first line.
     assert limits.discovery_silent_us + hangs + limits.discovery_retry_us <= 3_000_000
     assert hangs + limits.discovery_retry_us <= 1_000_000
 
@@ -209,11 +210,11 @@
         ("", SwitchState.READY),
     ],
 )
-def test_no_call_is_taken_before_the_boards_first_word(
+def test_no_call_is_accepted_before_the_boards_first_line(
     boards: list[Board], says: str, listed: SwitchState | None
 ) -> None:
-    # A restarted process knows what was told before its start. What was told since counts as told to it too:
-    # its first call, taken before the board's word, went to a booker that had drained for half a second.
+    # A restarted process knows the events before its start, and later ones count as received too. Its first
+    # call, accepted before the board's first line, went to a booker that had been draining for half a second.
     raw: Any = json.loads((ROOT / "example/config.json").read_text())
     known = {"rev": 3, "notices": [json.loads(event(3, "up", full=True))]}
     settings = read_settings(raw["settings"])
@@ -238,7 +239,7 @@
     pause(0.02)
 
 
-def test_where_no_board_answers_calls_are_taken_all_the_same(boards: list[Board]) -> None:
+def test_calls_are_accepted_without_an_answer_from_the_board(boards: list[Board]) -> None:
     raw: Any = json.loads((ROOT / "example/config.json").read_text())
     known = {"rev": 3, "notices": [json.loads(event(3, "up", full=True))]}
     settings = read_settings(raw["settings"])
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -1,7 +1,7 @@
 """No attempt begins for a client that has left while its request waited, wherever it waited.
 
-What the client did lies unread in the kernel as the attempt is decided on, or as its connection comes up: the
-loop that was held up has not had its turn.
+The client's cancel or close is still unread in the kernel when the attempt is decided on, or when its
+connection is established, as after a blocked event loop.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def held_by_the_module(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
-    """Wait for the first list, or for room at a server."""
+    """Wait for the first server list, or for capacity at a server."""
     world.send_request(client, ID)
     leave()
     world.act(SEND)
@@ -52,7 +52,7 @@
 
 
 def for_an_upstream_connection(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
-    """Wait at a server to which none is up."""
+    """Wait at a server to which no connection is open."""
     world.send_request(client, ID)
     world.back.connected = False
     world.act(SEND)
@@ -62,7 +62,7 @@
 
 
 def in_the_event_queue(world: DownstreamWorld, client: RawClient, leave: Leave) -> None:
-    """Wait behind the event at which the module is."""
+    """Wait behind the event that the module is handling."""
     connection = world.connection_of(client)
     client.send(request(ID))
     world.wait_for_input(connection)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""The lingering close over loopback: answers are read whole, pending input is handled, all is bounded."""
+"""The lingering close over loopback: output arrives complete, pending input is handled, all is bounded."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Line(JsonLines):
-    """Notes the messages that it is handed."""
+    """Records the messages that it receives."""
 
     def __init__(self, limits: Limits) -> None:
         deadlines, counters = parts()
@@ -38,7 +38,7 @@
 
 
 class LoopbackServer:
-    """A listening address, and pairs of a served line and a raw socket that the test holds."""
+    """A listening port, with pairs of an accepted connection and the test's raw socket."""
 
     def __init__(self) -> None:
         self.limits = LIMITS
@@ -50,7 +50,7 @@
         self.sockets: list[socket.socket] = []
 
     def connect(self, receive_buffer: int = 0) -> tuple[Line, socket.socket]:
-        """Connect once more."""
+        """Connect, and return both ends of the connection."""
         peer = socket.socket()
         if receive_buffer:
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -79,7 +79,7 @@
 
 
 def read_to_the_end(peer: socket.socket) -> bytes:
-    """Read to the other side's end, the reactor running; a reset raises ConnectionResetError."""
+    """Read to the other side's FIN while running the reactor; a reset raises ConnectionResetError."""
     peer.setblocking(False)
     got: list[bytes] = []
 
@@ -94,15 +94,15 @@
     return b"".join(got)
 
 
-def test_answers_on_their_way_outlast_input_that_nobody_reads(wire: LoopbackServer) -> None:
-    # Closed with input unread, the kernel resets the connection and drops what the peer had no room for yet.
+def test_unread_input_at_the_close_does_not_lose_answers(wire: LoopbackServer) -> None:
+    # On a close with unread input the kernel resets the connection and drops what the peer has not received.
     line, peer = wire.connect(receive_buffer=4096)
     for number in range(200):
         line.send({"kind": "running", "uid": f"{number:016x}", "body": "x" * 200})
-    line.transport.doWrite()  # into the kernel, more than the peer has room for
+    line.transport.doWrite()  # more than the peer's receive buffer holds
     peer.sendall(LINE)  # unread at the close
     line.close_gracefully("test")
-    peer.sendall(LINE)  # behind the close
+    peer.sendall(LINE)  # after the close
     answers = [json.loads(one) for one in read_to_the_end(peer).splitlines()]
     assert [one["uid"] for one in answers] == [f"{number:016x}" for number in range(200)]
     assert not line.messages
@@ -111,8 +111,8 @@
     assert not [name for name in line.counters if name.startswith("closing.bound_met")]
 
 
-def test_the_end_of_the_output_is_out_before_the_close_returns(wire: LoopbackServer) -> None:
-    # Left to the next turn of the reactor, whatever came in between would be read and thrown away.
+def test_the_close_sends_its_fin_before_it_returns(wire: LoopbackServer) -> None:
+    # Input that arrived before a FIN sent in the reactor's next turn would be discarded.
     line, peer = wire.connect()
     line.close_gracefully("test")
     assert peer.recv(10) == b""
@@ -128,7 +128,7 @@
     assert line.read_pending() and len(line.messages) == 2 and not line.has_partial_message
 
 
-def test_a_peers_end_or_reset_is_left_for_the_reactor_to_find(wire: LoopbackServer) -> None:
+def test_read_pending_leaves_a_close_or_reset_to_the_reactor(wire: LoopbackServer) -> None:
     line, peer = wire.connect()
     other, gone = wire.connect()
     peer.close()
@@ -138,7 +138,7 @@
     until(lambda: line.lost and other.lost)
 
 
-def test_what_comes_behind_the_end_of_our_output_is_not_handled(wire: LoopbackServer) -> None:
+def test_input_after_our_fin_is_discarded(wire: LoopbackServer) -> None:
     line, peer = wire.connect()
     line.close_gracefully("test")
     peer.sendall(LINE)
@@ -148,7 +148,7 @@
     until(lambda: line.lost)
 
 
-def test_a_peer_that_never_closes_is_given_so_long(wire: LoopbackServer) -> None:
+def test_lingering_for_a_peer_that_never_closes_ends_by_time_out(wire: LoopbackServer) -> None:
     line, peer = wire.connect()
     line.close_gracefully("test")
     until(lambda: line.lost)
@@ -156,7 +156,7 @@
     assert peer.recv(10) == b""  # and no reset
 
 
-def test_a_peer_that_sends_without_end_is_cut_off(wire: LoopbackServer) -> None:
+def test_a_peer_that_sends_too_much_while_lingering_is_cut_off(wire: LoopbackServer) -> None:
     line, peer = wire.connect()
     line.close_gracefully("test")
     peer.sendall(b"x" * (LIMITS.linger_bytes + 1))
@@ -172,8 +172,8 @@
     assert line.counters["closing.bound_met.flushing"] == 1
 
 
-def test_a_close_that_is_paused_for_a_slow_reader_still_ends(wire: LoopbackServer) -> None:
-    # Twisted leaves a connection open for ever if its producer is paused as the last byte leaves.
+def test_a_close_paused_by_a_slow_reader_completes(wire: LoopbackServer) -> None:
+    # Twisted never closes a connection whose producer is paused when the last byte is written.
     wire.limits = Limits()
     line, peer = wire.connect()
     line.transport.write(b"x" * 300_000)
@@ -183,8 +183,8 @@
     until(lambda: line.lost)
 
 
-def test_of_too_many_that_linger_the_oldest_goes(wire: LoopbackServer) -> None:
-    # Descriptors are bounded: a flood of closes must not hold them for the time of each.
+def test_over_the_linger_limit_the_oldest_connection_is_cut_off(wire: LoopbackServer) -> None:
+    # Descriptors are limited: a flood of closes must not hold them for the whole linger time.
     wire.limits = Limits(linger_connections=3)
     pairs = [wire.connect() for _ in range(5)]
     for line, _peer in pairs:
--- a/tests/test_crossing_answers.py
+++ b/tests/test_crossing_answers.py
@@ -1,4 +1,4 @@
-"""What a server says or does crosses what is sent to it: no request is left with no answer."""
+"""Messages and closes of a server that cross messages sent to it: every request still gets its answer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 @pytest.fixture
 def stage() -> Iterator[Stage]:
     one = Stage(PATIENT)
-    pause(0.02)  # with polls that find nothing: what a test hands over after them has come just now
+    pause(0.02)  # polls that find nothing, so that what a test delivers next counts as just arrived
     yield one
     one.close()
 
@@ -31,15 +31,15 @@
 
 def reset(server: Peer) -> None:
     server.transport.abortConnection()
-    reactor.runUntilCurrent()  # the reset goes out; nothing is read
+    reactor.runUntilCurrent()  # sends the reset without reading any socket
     assert server.lost
 
 
 @pytest.mark.parametrize("close", [close_both_ways, reset])
-def test_a_set_up_that_crosses_an_idle_close_is_sent_again_after_the_pause(
+def test_a_set_up_crossing_an_idle_close_is_retried_after_the_pause(
     stage: Stage, close: Callable[[Peer], None]
 ) -> None:
-    # The close lies unread as the set-up is written: the server never reads it.
+    # The close is unread when the set-up is written, and the server never reads the set-up.
     (server,) = stage.bookers
     until(lambda: stage.back.pools["s0"].connections)
     close(server)
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("part", [b'{"kind":"running","uid":"', b'{"kind":"running","uid":"' + ID.encode()])
-def test_an_answer_that_breaks_off_counts_as_none(stage: Stage, part: bytes) -> None:
+def test_an_incomplete_answer_is_ignored(stage: Stage, part: bytes) -> None:
     server = stage.set_up(ID)
     server.transport.write(part)
     server.transport.loseConnection()
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("first", ["running", "stop"])
-def test_an_answer_that_crosses_the_cancel_reaches_nobody(stage: Stage, first: str) -> None:
+def test_an_answer_crossing_the_cancel_is_not_passed_on(stage: Stage, first: str) -> None:
     server = stage.set_up(ID)
     stage.client.send("stop", ID, reason=16)
     until(lambda: server.kinds(ID)[1:] == [("stop", 16)])
@@ -78,7 +78,7 @@
     assert not stage.core.calls and not stage.back.requests
 
 
-def test_answers_behind_a_refusal_or_on_another_connection_reach_nobody(stage: Stage) -> None:
+def test_answers_after_a_refusal_or_on_a_wrong_connection_are_ignored(stage: Stage) -> None:
     server = stage.set_up(ID)
     other = stage.set_up(ID2)
     other.send("running", ID, body="from elsewhere")
@@ -94,7 +94,7 @@
     until(lambda: stage.client.kinds(ID2) == [("running", None)])
 
 
-def test_an_answer_on_a_connection_that_was_set_aside_reaches_nobody_twice(stage: Stage) -> None:
+def test_an_answer_on_a_retired_connection_is_not_passed_on_twice(stage: Stage) -> None:
     first = stage.set_up(ID)
     pause(0.05)
     stage.set_up(ID2).send("running", ID2, body="x")
@@ -107,8 +107,8 @@
     assert [one["body"] for one in stage.client.got if one["uid"] == ID] == ["x"]
 
 
-def test_a_fault_over_one_message_does_not_lose_the_answer_behind_it(stage: Stage) -> None:
-    # The connection was closed over it, with every set-up on it.
+def test_an_exception_for_one_message_does_not_lose_the_next(stage: Stage) -> None:
+    # The exception must not close the connection and fail every set-up on it.
     server = stage.set_up(ID)
     usual = stage.core.stood
     faults: list[str] = []
@@ -131,13 +131,14 @@
     server.transport.write(answers)  # in one read
     until(lambda: stage.client.kinds(ID2) == [("running", None)])
     assert faults == [ID] and not server.lost
-    until(lambda: stage.client.kinds(ID))  # its own time ends it
+    until(lambda: stage.client.kinds(ID))  # its own time-out ends it
 
 
-def test_a_connection_that_never_comes_up_does_not_end_what_waits_for_another(
+def test_a_connect_time_out_does_not_end_attempts_with_another_pending(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # One in fifty never comes up: its time-out ended younger attempts, and put their server on trials.
+    # One connect in fifty never completes. Its time-out must not end younger attempts, nor put their server
+    # on trial calls.
     connects = HeldConnects(monkeypatch)
     stage.bookers[0].transport.abortConnection()
     connects.wait_for(1)
@@ -152,7 +153,7 @@
     assert not stage.module.switches["s0"].suspect
 
 
-def test_what_waited_its_time_or_for_the_last_connection_ends_when_that_fails(
+def test_waiting_attempts_end_when_the_last_connect_fails(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connects = HeldConnects(monkeypatch)
@@ -167,7 +168,7 @@
     assert not stage.back.requests and stage.back.pools["s0"].connecting == 0
 
 
-def test_a_release_that_comes_before_its_answer_ends_the_attempt_once(stage: Stage) -> None:
+def test_a_release_before_its_answer_ends_the_attempt_once(stage: Stage) -> None:
     server = stage.set_up(ID)
     write_to_socket(server, "stop", ID, reason=16)
     write_to_socket(server, "running", ID, body="x")
@@ -177,8 +178,8 @@
     assert len(finals) <= 1 and ("running", None) not in finals
 
 
-def test_nothing_is_written_behind_what_has_not_left_while_another_connection_is_free() -> None:
-    # A slow connection with no attempt waiting on it looked as good as an idle one.
+def test_a_connection_with_unsent_output_is_not_chosen_beside_a_free_one() -> None:
+    # A connection with unsent output and no pending attempt must not be taken for an idle one.
     stage = Stage(replace(LIMITS, stalled_us=60_000_000))
     (slow,) = stage.bookers
     pool = stage.back.pools["s0"]
@@ -191,7 +192,7 @@
     until(lambda: len(pool.connections) == 2 and len(stage.bookers) == 2)
     connection.transport.write(b'{"kind":"stopped","uid":""}\n' * 500_000)  # more than the kernel takes
     until(lambda: connection.has_unsent_output)
-    connection.last_received_us = stage.core.clock.now_us() + 1  # of equals it would be taken
+    connection.last_received_us = stage.core.clock.now_us() + 1  # among equals it would be chosen
     deliver_request(stage, ID)
     assert list(connection.pending) == []
     (leg,) = stage.back.requests.values()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: how they are divided, and a process whose callers fill theirs."""
+"""Descriptors: how they are divided, and a process whose clients use up their part."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 ROOT = Path(__file__).parents[1]
 
 
-# How they are divided.
+# The division.
 
 
-def test_the_parts_add_up_to_no_more_than_there_are() -> None:
+def test_the_parts_fit_the_available_descriptors() -> None:
     for descriptors in range(0, 5_000):
         try:
             plan = plan_descriptors(descriptors)
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("descriptors", [64, 128, 256, 576, 1024])
-def test_the_configuration_divides_what_it_is_given(descriptors: int, tmp_path: Path) -> None:
+def test_the_configuration_divides_its_descriptors(descriptors: int, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     raw: dict[str, Any] = json.loads((ROOT / "example/config.json").read_text())
     path.write_text(json.dumps(raw | {"limits": raw["limits"] | {"sockets": descriptors}}))
@@ -75,7 +75,7 @@
 
 
 class Greeter(Protocol):
-    """Says a word to each connection."""
+    """Writes a greeting to each connection."""
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
@@ -83,7 +83,7 @@
 
 
 class BoundedPort:
-    """A port within bounds, and how often the reactor has called it."""
+    """A port with accept bounds that counts the reactor's calls to it."""
 
     def __init__(self, most_open: int, monkeypatch: pytest.MonkeyPatch, retry_us: int) -> None:
         self.protocols: list[Greeter] = []
@@ -112,7 +112,7 @@
 
 
 def was_served(sock: socket.socket) -> bool:
-    """Tell whether something can be read; it fails on a close without a word."""
+    """Return whether the greeting has arrived; fails on a close without one."""
     readable, _, _ = select.select([sock], [], [], 0)
     if readable:
         assert sock.recv(100) == b"served"
@@ -140,14 +140,14 @@
 
 @pytest.fixture
 def no_descriptor() -> Iterator[list[int]]:
-    """Give a list; once the test puts a descriptor's number in by `exhaust`, none is left until the end."""
+    """Return the soft and hard limit for `exhaust_descriptors`, and restore them at the end."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     yield [soft, hard]
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
 def exhaust_descriptors(limit: list[int]) -> None:
-    """Let no further descriptor be opened in this process."""
+    """Lower the limit so that this process can open no further descriptor."""
     first_free = os.dup(0)
     os.close(first_free)
     resource.setrlimit(resource.RLIMIT_NOFILE, (first_free, limit[1]))
@@ -155,14 +155,14 @@
         os.dup(0)
 
 
-def test_a_port_without_a_descriptor_closes_nobody_and_does_not_spin(
+def test_a_port_without_descriptors_closes_no_client_and_does_not_spin(
     monkeypatch: pytest.MonkeyPatch, no_descriptor: list[int]
 ) -> None:
     rig = BoundedPort(100, monkeypatch, retry_us=20_000)
     client = socket.create_connection(rig.address)
     exhaust_descriptors(no_descriptor)
     until(lambda: rig.counters["accept.paused.exhausted"] >= 3)
-    assert rig.reads == rig.counters["accept.paused.exhausted"]  # once for each look, no more
+    assert rig.reads == rig.counters["accept.paused.exhausted"]  # one try per retry interval
     assert not was_served(client) and not rig.protocols
     resource.setrlimit(resource.RLIMIT_NOFILE, (no_descriptor[0], no_descriptor[1]))
     until(lambda: was_served(client))
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPERM, errno.ENFILE, errno.ENOBUFS])
-def test_other_faults_of_accept_close_no_port(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
+def test_other_accept_errors_do_not_close_the_port(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
     rig = BoundedPort(100, monkeypatch, retry_us=1_000)
     listening = rig.port.socket
     faults = [number]
@@ -221,7 +221,7 @@
 
 
 def listening_port(process: subprocess.Popen[bytes], name: bytes) -> int:
-    """Read the log up to the line that tells where it listens."""
+    """Read the log up to the line with the listening port."""
     assert process.stderr
     for line in process.stderr:
         if name + b" listens on 127.0.0.1:" in line:
@@ -236,10 +236,10 @@
 
 
 def test_a_request_behind_a_burst_of_idle_connections_is_served(boards: list[Board], tmp_path: Path) -> None:
-    """Fill the queue while the process stands still, so that it meets the whole burst in one turn.
+    """Fill the listen queue while the process is stopped, so that it accepts the burst in one loop turn.
 
-    Each connection pushed out held its descriptor to the end of that turn: accept() failed, and whatever
-    waited in the queue was closed, the request that was written there with it.
+    Each evicted connection held its descriptor to the end of that turn: accept() failed, and whatever waited
+    in the queue was closed, including a request that was already written there.
     """
     descriptors = 80
     bookers, ports, path = one_booker(boards[0], tmp_path)
--- a/tests/test_discovery_events.py
+++ b/tests/test_discovery_events.py
@@ -1,4 +1,4 @@
-"""Discovery's events, decoded: what is taken, and which fault is named where."""
+"""Parsing of discovery's events: valid ones, and the kind and path of each fault."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return {"rev": 4, "pool": {"full": False, "servers": [server]}}
 
 
-def test_an_event_and_a_number() -> None:
+def test_events_and_heartbeats_are_parsed() -> None:
     entry = ServerEntry("s1", "10.1.0.9", 5060, 2, SwitchState.READY, 7_000)
     assert parse_message(message()) == ListEvent(4, False, (entry, entry))
     assert parse_message({"rev": "4"}) == parse_heartbeat(b"4\r") == Heartbeat(4)
@@ -70,7 +70,7 @@
         (message(started_ms={}), EventFault.TYPE, "servers[1].started_ms"),
     ],
 )
-def test_a_fault_is_named_with_its_place(bad: Any, fault: EventFault, place: str) -> None:
+def test_an_event_error_names_the_path_of_the_fault(bad: Any, fault: EventFault, place: str) -> None:
     with pytest.raises(EventError) as caught:
         parse_message(bad)
     assert (caught.value.fault, caught.value.path) == (fault, place)
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"x", b"4.0", b"true", b"[4]", b"{"])
-def test_a_line_that_is_no_number(line: bytes) -> None:
+def test_a_malformed_heartbeat_is_an_error(line: bytes) -> None:
     with pytest.raises(EventError):
         parse_heartbeat(line)
 
@@ -96,9 +96,11 @@
         (5, True, EventOrder.FULL_LIST),
     ],
 )
-def test_the_order_of_an_event_after_the_third(revision: int, full: bool, order: EventOrder) -> None:
+def test_events_are_classified_by_revision(revision: int, full: bool, order: EventOrder) -> None:
     sequence = EventSequence()
-    assert sequence.advance(ListEvent(3, False, ())) is ListKind.CACHED  # the first one is the whole list
+    assert (
+        sequence.advance(ListEvent(3, False, ())) is ListKind.CACHED
+    )  # the first event is the complete list
     event = ListEvent(revision, full, ())
     assert sequence.classify(event) is order
     if order in (EventOrder.NEXT, EventOrder.FULL_LIST):
@@ -109,7 +111,7 @@
 @pytest.mark.parametrize(
     ("revision", "order"), [(2, EventOrder.BEHIND), (3, EventOrder.CURRENT), (4, EventOrder.GAP)]
 )
-def test_the_order_of_a_number_after_the_third(revision: int, order: EventOrder) -> None:
+def test_heartbeats_are_classified_by_revision(revision: int, order: EventOrder) -> None:
     sequence = EventSequence()
     sequence.advance(ListEvent(3, True, ()))
     assert sequence.classify(Heartbeat(revision)) is order
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The discovery watch where two events cross: real sockets, scripted services, and a clock moved by hand."""
+"""The discovery watch under crossing events: real sockets, scripted servers and a manual clock."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Follower:
-    """A watch with a core behind it, on a clock that stands still."""
+    """A watch with a core behind it, on a manual clock."""
 
     def __init__(self, address: str, known: dict[str, Any]) -> None:
         self.clock = HandClock()
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def received(monkeypatch: pytest.MonkeyPatch) -> list[bytes]:
-    """Collect what every connection to discovery has read."""
+    """Collect the data read on every connection to discovery."""
     chunks: list[bytes] = []
     read = DiscoveryConnection.dataReceived
 
@@ -85,20 +85,20 @@
 
 
 def send(desk: WatchPeer, data: bytes, received: list[bytes]) -> None:
-    """Write, and wait until the other side has read it all."""
+    """Write, and wait until the other side has read all of it."""
     before = sum(map(len, received))
     desk.transport.write(data)
     until(lambda: sum(map(len, received)) >= before + len(data))
 
 
 def send_unread(desk: WatchPeer, data: bytes) -> None:
-    """Put bytes into the other side's receive buffer while nobody there reads."""
+    """Put bytes into the other side's receive buffer without running the reactor."""
     assert desk.transport.socket.send(data) == len(data)
 
 
 @pytest.fixture
 def hung() -> Iterator[str]:
-    """Give an address at which no connection comes up: its queue is full, and nobody accepts."""
+    """Yield an address at which connects hang: its listen queue is full, and nobody accepts."""
     listening = socket.socket()
     listening.bind(("127.0.0.1", 0))
     listening.listen(0)
@@ -112,15 +112,15 @@
 
 
 def pending_connects() -> int:
-    """How many connections the reactor is making."""
+    """Return the number of connects in progress."""
     return sum(type(one).__name__ == "Client" and not one.connected for one in reactor.getWriters())
 
 
-# What shows that discovery speaks.
+# Signs of life.
 
 
 @pytest.mark.parametrize("noise", [b" ", b"\n", b"3"])
-def test_bytes_that_never_make_a_line_do_not_hide_a_silence(
+def test_bytes_without_a_line_do_not_hide_a_silence(
     follower: Follower, boards: list[Board], received: list[bytes], noise: bytes
 ) -> None:
     desk = boards[0].peers[0]
@@ -135,7 +135,7 @@
     until(lambda: follower.state() is SwitchState.DRAINING)
 
 
-def test_numbers_keep_the_watch_open(follower: Follower, boards: list[Board], received: list[bytes]) -> None:
+def test_heartbeats_keep_a_watch(follower: Follower, boards: list[Board], received: list[bytes]) -> None:
     for line in (b"3\n", b'{"rev":3}\n', b"2\n", event(3, "removed")) * 2:
         send(boards[0].peers[0], line, received)
         follower.clock.advance(SECOND)
@@ -143,10 +143,10 @@
     assert follower.counters["discovery.behind"] == 2 and follower.counters["discovery.repeated_events"] == 2
 
 
-def test_a_new_connection_that_says_nothing_is_given_up_in_time_for_another(
+def test_a_silent_new_connection_is_dropped_in_time_for_another(
     follower: Follower, boards: list[Board]
 ) -> None:
-    # After a break news counts as told 2 s later; the first of two connections may be a silent one.
+    # Events count as received 2 s after a closed connection; the first of two reconnects may be silent.
     boards[0].peers[0].transport.abortConnection()
     follower.wait_count("discovery.connections", 1)
     until(lambda: follower.watch.state.value == "paused")
@@ -162,7 +162,7 @@
     assert follower.clock.now_us() - began_us <= 1_900_000
 
 
-def test_open_watches_fall_silent_while_new_ones_work(
+def test_a_silent_connection_is_replaced_by_a_working_one(
     follower: Follower, boards: list[Board], received: list[bytes]
 ) -> None:
     send(boards[0].peers[0], b"3\n", received)
@@ -180,7 +180,7 @@
 # Breaks, gaps and faults.
 
 
-def test_a_whole_event_without_its_line_feed_is_none(follower: Follower, boards: list[Board]) -> None:
+def test_an_event_without_its_line_feed_is_ignored(follower: Follower, boards: list[Board]) -> None:
     boards[0].peers[0].transport.write(event(4, "removed")[:-1])
     boards[0].peers[0].transport.loseConnection()
     until(lambda: follower.watch.state.value == "paused")
@@ -189,7 +189,7 @@
     assert boards[0].requested(2) == [b"watch 3"]
 
 
-def test_a_number_above_ours_on_every_connection_is_no_busy_loop(
+def test_repeated_higher_heartbeats_do_not_cause_a_busy_loop(
     follower: Follower, boards: list[Board], received: list[bytes]
 ) -> None:
     for count in range(1, 6):
@@ -204,7 +204,7 @@
     until(lambda: follower.state() is SwitchState.DRAINING)
 
 
-def test_nothing_behind_a_gap_in_the_same_read_is_taken(
+def test_nothing_after_a_gap_in_the_same_read_is_applied(
     follower: Follower, boards: list[Board], received: list[bytes]
 ) -> None:
     send(boards[0].peers[0], b"9\n" + event(4, "removed") + b"3\n", received)
@@ -220,7 +220,7 @@
         (event(4, "up").replace(b'"full"', b'"whole"'), "discovery.bad_events.missing"),
     ],
 )
-def test_a_broken_event_is_counted_by_its_kind_and_asked_for_again(
+def test_a_malformed_event_is_counted_and_requested_again(
     follower: Follower, boards: list[Board], received: list[bytes], line: bytes, count: str
 ) -> None:
     send(boards[0].peers[0], line, received)
@@ -231,7 +231,7 @@
     until(lambda: follower.state() is SwitchState.DRAINING)
 
 
-def test_a_server_that_cannot_be_reached_stops_nobody_elses_news(
+def test_an_unreachable_server_does_not_block_other_events(
     follower: Follower, boards: list[Board], received: list[bytes]
 ) -> None:
     line = event(4, "up", booker="s1").replace(b"127.0.0.1:9", b"127.0.0.1:70000")
@@ -239,11 +239,11 @@
     assert follower.state("s1") is SwitchState.READY and follower.state() is SwitchState.DRAINING
 
 
-# Whole lists.
+# Complete lists.
 
 
 @pytest.mark.parametrize("revision", [1, 2, 3])
-def test_an_older_whole_list_brings_nobody_back(
+def test_an_outdated_complete_list_restores_no_server(
     follower: Follower, boards: list[Board], received: list[bytes], revision: int
 ) -> None:
     send(boards[0].peers[0], event(revision, "draining", full=True, booker="s9"), received)
@@ -251,7 +251,7 @@
 
 
 @pytest.mark.parametrize("revision", [4, 9])
-def test_a_newer_whole_list_leaves_out_who_is_gone(
+def test_a_newer_complete_list_removes_missing_servers(
     follower: Follower, boards: list[Board], received: list[bytes], revision: int
 ) -> None:
     send(boards[0].peers[0], event(revision, "up", full=True, booker="s9"), received)
@@ -262,7 +262,7 @@
 # Moves.
 
 
-def test_a_move_while_connecting_lets_go_of_the_connection_being_made(boards: list[Board], hung: str) -> None:
+def test_a_move_while_connecting_cancels_the_pending_connect(boards: list[Board], hung: str) -> None:
     follower = Follower(hung, KNOWN)
     pause(0.02)
     making = pending_connects()
@@ -286,7 +286,7 @@
     assert follower.state() is SwitchState.DRAINING
 
 
-def test_a_move_to_a_dead_address_is_tried_at_a_steady_pace_until_it_lives(
+def test_connects_to_a_dead_address_are_retried_at_a_constant_rate(
     follower: Follower, boards: list[Board]
 ) -> None:
     where = boards[1].address
@@ -316,7 +316,7 @@
     assert len(boards[0].peers) == 1 and len(boards[1].peers) == 1
 
 
-def test_what_the_old_connection_still_holds_is_not_taken_after_the_move(
+def test_events_unread_on_the_old_connection_are_ignored_after_a_move(
     follower: Follower, boards: list[Board], received: list[bytes]
 ) -> None:
     send_unread(boards[0].peers[0], event(4, "removed"))
@@ -326,10 +326,10 @@
     assert follower.state() is SwitchState.DRAINING and len(boards[0].peers) == 1
 
 
-def test_lines_and_the_end_of_an_earlier_connection_touch_nothing(
+def test_lines_and_closes_of_an_earlier_connection_are_ignored(
     follower: Follower, boards: list[Board], received: list[bytes], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The transport reads no more once it is aborted; the watch does not depend on that.
+    # An aborted transport reads no more, but the watch does not rely on that.
     earlier: list[DiscoveryConnection] = []
     ask = DiscoveryConnection.ask
     monkeypatch.setattr(DiscoveryConnection, "ask", lambda self, rev: earlier.append(self) or ask(self, rev))  # type: ignore[func-returns-value]
@@ -341,7 +341,7 @@
     earlier[0].lineReceived(b"9")
     earlier[0].owner.connection_closed(earlier[0])
     assert follower.state() is SwitchState.READY and follower.watch.state.value == "asked"
-    follower.clock.advance(LIMITS.discovery_first_line_us)  # no line of theirs put the silence off
+    follower.clock.advance(LIMITS.discovery_first_line_us)  # none of their lines restarted the time-out
     assert follower.watch.state.value == "paused"
 
 
@@ -365,10 +365,10 @@
 
 
 @pytest.mark.parametrize("first", [event(5, "removed"), b"4\n", event(4, "gone"), b"{\n"])
-def test_a_first_line_that_tells_of_a_gap_settles_nothing(
+def test_a_first_line_that_shows_a_gap_does_not_end_the_start(
     boards: list[Board], received: list[bytes], first: bytes
 ) -> None:
-    # Settled by it, a process took requests for a server that was told to be draining.
+    # Otherwise a process accepts requests for a server whose draining event it has not received.
     follower = Follower(boards[0].address, KNOWN)
     boards[0].requested()
     send(boards[0].peers[0], first, received)
@@ -382,7 +382,7 @@
     follower.close()
 
 
-def test_faults_at_the_start_hold_the_process_up_for_a_bounded_time(
+def test_faults_at_the_start_delay_the_process_for_a_bounded_time(
     boards: list[Board], received: list[bytes]
 ) -> None:
     follower = Follower(boards[0].address, KNOWN)
@@ -404,10 +404,10 @@
         ([], b"watch 0"),
     ],
 )
-def test_what_the_configuration_lacks_is_asked_for(
+def test_events_missing_in_the_configuration_are_requested(
     boards: list[Board], notices: list[bytes], asked: bytes
 ) -> None:
-    # Asked from the number that it names, an event that could not be read was missing for good.
+    # Requesting from the configuration's own revision would lose a malformed event for good.
     follower = Follower(boards[0].address, {"rev": 3, "notices": [json.loads(one) for one in notices]})
     assert boards[0].requested() == [asked]
     follower.close()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""A client's leaving and what is open for it: cancel, close, half-close and reset, in forced orders."""
+"""A client that cancels, closes, half-closes or resets while it has open requests, in forced orders."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     one.close()
 
 
-def test_one_that_waits_is_said_to_wait(world: DownstreamWorld) -> None:
+def test_a_connected_client_is_still_waiting(world: DownstreamWorld) -> None:
     client = world.connect_client()
     ref = world.send_request(client, ID)
     assert world.front.still_waiting(ref) and world.front.still_waiting(ref)
@@ -45,10 +45,10 @@
 
 @leaves
 @pytest.mark.parametrize("out", [False, True], ids=["held", "out"])
-def test_what_lies_unread_is_found_before_a_later_attempt(
+def test_unread_cancels_and_closes_are_found_before_a_later_attempt(
     world: DownstreamWorld, leave: Callable[[RawClient], None], out: bool
 ) -> None:
-    # A timer's turn comes before the sockets' where the loop was held up: the attempt began all the same.
+    # A blocked loop runs its timers before it reads sockets: an attempt began for a client that had left.
     client = world.connect_client()
     ref = world.send_request(client, ID)
     connection = world.connection_of(client)
@@ -63,10 +63,10 @@
 
 @pytest.mark.parametrize("paused", [False, True], ids=["reading", "not reading"])
 @ends
-def test_the_end_of_a_client_that_reads_nothing_is_found(
+def test_the_close_of_a_client_that_does_not_read_is_found(
     world: DownstreamWorld, end: Callable[[RawClient], None], paused: bool
 ) -> None:
-    # Its answers fill the buffers; the transport may even have stopped reading.
+    # Unread answers fill the buffers, and the transport may have stopped reading.
     client = world.connect_client()
     ref = world.send_request(client, ID)
     connection = world.connection_of(client)
@@ -82,10 +82,10 @@
 
 
 @pytest.mark.parametrize("leave", LEAVES.values(), ids=LEAVES)
-def test_a_request_that_came_with_its_clients_leaving_is_never_sent_on(
+def test_a_request_read_with_its_cancel_or_close_is_never_sent_on(
     world: DownstreamWorld, leave: Callable[[RawClient], None]
 ) -> None:
-    # Read after a stall of any length, the request went out first and the cancel came right behind.
+    # After a stall both are read together: the request must not be sent on before its cancel is seen.
     world.module.script = lambda event: (
         [api.Send(event.call, "s0", 0)] if isinstance(event, api.NewCall) else []
     )
@@ -98,15 +98,15 @@
     world.until(lambda: world.counters["client.messages_in"] > known or not connection.is_open)
     if leave is LEAVES["cancel"]:
         client.sync()
-        assert not client.messages_about(ID)  # none is owed
+        assert not client.messages_about(ID)  # a cancelled request gets no answer
     assert not world.back.attempts and not world.module.offered_calls()
     if leave is RawClient.half_close:
         world.until(lambda: client.messages_about(ID) and client.ended)
         assert client.messages_about(ID) == [("stop", 34)] and client.ended == "end"
 
 
-def test_of_requests_cancelled_together_none_is_sent_on_as_another_ends(world: DownstreamWorld) -> None:
-    # The module frees what the first one held for the second, whose cancel is the next line of the read.
+def test_requests_cancelled_together_are_not_sent_on_as_one_ends(world: DownstreamWorld) -> None:
+    # With the capacity freed by the first, the module starts the second, whose cancel is the next line read.
     client = world.connect_client()
     refs = {uid: world.send_request(client, uid) for uid in (ID, ID2, ID3)}
     asked: list[bool] = []
@@ -123,7 +123,7 @@
 
 
 @ends
-def test_of_requests_whose_client_ends_none_is_sent_on_as_another_ends(
+def test_requests_of_a_closing_client_are_not_sent_on_as_one_ends(
     world: DownstreamWorld, end: Callable[[RawClient], None]
 ) -> None:
     client = world.connect_client()
@@ -141,8 +141,8 @@
     assert asked == [False] * 9 and len(world.front.requests) == 0
 
 
-def test_a_burst_is_looked_at_again_while_it_is_being_offered(world: DownstreamWorld) -> None:
-    # The decisions on hundreds of requests take a while, in which the last of them may be cancelled.
+def test_input_is_polled_again_while_a_burst_is_being_offered(world: DownstreamWorld) -> None:
+    # Decisions on hundreds of requests take a while, in which the last of them may be cancelled.
     client = world.connect_client()
 
     def slow(event: api.Event) -> list[api.Action]:
@@ -158,10 +158,8 @@
     assert [one.offer.uid for one in world.back.attempts] == [ID, ID2]
 
 
-def test_a_client_that_leaves_while_the_core_is_offered_its_request_keeps_nothing(
-    world: DownstreamWorld,
-) -> None:
-    # The core has no name for the request yet by which the front could withdraw it.
+def test_a_client_leaving_while_its_request_is_offered_leaves_no_state(world: DownstreamWorld) -> None:
+    # The front has no core handle for the request yet with which it could withdraw it.
     client = world.connect_client()
 
     def left(event: api.Event) -> list[api.Action]:
@@ -179,9 +177,9 @@
     assert not world.core.calls and len(world.front.requests) == 0
 
 
-def test_who_half_closes_gets_every_answer(world: DownstreamWorld) -> None:
-    # It may have closed for good: nothing more is sent on, and what is out is given up. It may also read on:
-    # a request that was read and then closed with no answer is lost.
+def test_a_half_closed_client_gets_every_answer(world: DownstreamWorld) -> None:
+    # The client may have closed: nothing more is sent on, and its attempts are given up. It may also still
+    # read: closing without an answer would lose its requests.
     client = world.connect_client()
     world.send_request(client, ID)
     world.act(api.Send(ID, "s0", 0))
@@ -197,14 +195,14 @@
     assert client.ended == "end" and world.back.given_up == [ID] and len(world.back.attempts) == 1
 
 
-def test_who_half_closes_with_nothing_open_reads_its_last_answer(world: DownstreamWorld) -> None:
+def test_a_half_closed_idle_client_reads_its_last_answer(world: DownstreamWorld) -> None:
     client = world.connect_client()
     world.send_request(client, ID)
     world.accept_call(ID)
     client.half_close()
     world.until(client.read)
     assert client.messages_about(ID) == [("running", None)] and client.ended == "end"
-    assert not world.back.released, "a call that stands belongs to no connection"
+    assert not world.back.released, "an established call belongs to no connection"
 
 
 def test_a_cancel_that_crosses_the_answer_releases_the_call_once(world: DownstreamWorld) -> None:
@@ -242,14 +240,14 @@
 
 @pytest.mark.parametrize("elsewhere", [False, True], ids=["same connection", "another"])
 @pytest.mark.parametrize(("finish", "told"), AGAIN.values(), ids=AGAIN)
-def test_an_id_that_comes_again_gets_its_own_one_answer_and_is_not_sent_on(
+def test_a_reused_id_gets_one_answer_and_is_not_sent_on(
     world: DownstreamWorld,
     finish: Callable[[DownstreamWorld, RawClient], None],
     told: list[tuple[str, int | None]],
     elsewhere: bool,
 ) -> None:
-    # A late answer or release of the first one could not be told from the second's, and the pause after an
-    # attempt in doubt would not be kept: to the server it is the same request.
+    # A late answer or release of the first could not be told from the second's, and the pause after an
+    # attempt in doubt would not be kept: for the server it is the same request.
     client = world.connect_client()
     world.send_request(client, ID)
     finish(world, client)
@@ -260,9 +258,7 @@
     second.send(request(ID))
     second.sync()
     assert second.messages_about(ID) == ([] if elsewhere else told) + [("stop", 41)]
-    world.front.inherited_call_released(
-        ID, 16
-    )  # a release of the first one that its server sends late, or again
+    world.front.inherited_call_released(ID, 16)  # a late or repeated release of the first call
     second.sync()
     assert second.messages_about(ID)[-1] == ("stop", 41) and world.module.offered_calls() == [ID]
     assert len(world.back.attempts) == sent
@@ -271,7 +267,7 @@
     world.until(lambda: world.module.offered_calls() == [ID, ID])
 
 
-def test_an_id_that_came_twice_in_one_read_has_one_answer(world: DownstreamWorld) -> None:
+def test_an_id_twice_in_one_read_gets_one_answer(world: DownstreamWorld) -> None:
     client = world.connect_client()
     client.send(request(ID) + request(ID, key="another") + request(ID2))
     world.until(client.read)
--- a/tests/test_downstream_room.py
+++ b/tests/test_downstream_room.py
@@ -1,4 +1,4 @@
-"""Idle connections, the limit on connections, floods and clients that send or read what they should not."""
+"""Idle time-outs, the connection limit, floods, and clients that send garbage or do not read."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def accept_and_wait(world: DownstreamWorld, client: RawClient, uid: str = ID) -> None:
-    """See that a request that was sent is taken and answered."""
+    """Wait until a sent request is offered, accept it, and wait for the client's answer."""
     world.until(lambda: uid in world.module.offered_calls())
     world.accept_call(uid)
     world.until(lambda: client.messages_about(uid) == [("running", None)])
 
 
-# Closed for idleness.
+# Idle time-outs.
 
 
 def idle_timeout_us(world: DownstreamWorld, asked: bool) -> int:
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("asked", [False, True], ids=["silent", "asked once"])
 @pytest.mark.parametrize("sent", [HALF, len(request(ID))], ids=["half a request", "a request"])
-def test_what_arrives_as_a_connection_is_closed_for_idleness_is_served(
+def test_a_request_arriving_at_the_idle_time_out_is_served(
     world: DownstreamWorld, asked: bool, sent: int
 ) -> None:
     client = world.connect_client()
@@ -53,9 +53,7 @@
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["silent", "asked once"])
-def test_a_connection_in_the_middle_of_a_request_is_not_idle_within_a_bound(
-    world: DownstreamWorld, asked: bool
-) -> None:
+def test_a_partial_request_extends_the_idle_time_out_once(world: DownstreamWorld, asked: bool) -> None:
     client = world.connect_client()
     if asked:
         client.sync()
@@ -67,12 +65,12 @@
     assert connection.is_open
     client.send(request(ID)[HALF:-1])
     world.until(lambda: connection.bytes_read >= len(request(ID)) - 1)
-    world.advance_us(1)  # its first byte is the measure: an endless one in small pieces holds nothing longer
+    world.advance_us(1)  # counted from its first byte, so that endless small pieces gain no time
     world.until(client.read)
     assert client.ended == "end" and world.counters["client.closed.half_message"] == 1
 
 
-def test_the_rest_of_a_request_that_lies_unread_at_the_bound_is_read(world: DownstreamWorld) -> None:
+def test_the_unread_rest_of_a_request_is_read_at_the_time_out(world: DownstreamWorld) -> None:
     client = world.connect_client()
     connection = world.connection_of(client)
     client.send(request(ID)[:HALF])
@@ -96,11 +94,11 @@
     assert client.ended == "end"
 
 
-# Closed to make room.
+# Eviction.
 
 
 @pytest.mark.parametrize("sent", [HALF, len(request(ID))], ids=["half a request", "a request"])
-def test_one_that_sends_a_request_makes_no_room(world: DownstreamWorld, sent: int) -> None:
+def test_a_connection_with_an_unread_request_is_not_evicted(world: DownstreamWorld, sent: int) -> None:
     clients = [world.connect_client(), world.connect_client()]
     for client in clients:
         client.sync()
@@ -114,7 +112,7 @@
     accept_and_wait(world, clients[0])
 
 
-def test_one_on_which_a_call_stands_makes_room_and_the_release_goes_elsewhere(world: DownstreamWorld) -> None:
+def test_after_eviction_a_calls_release_goes_to_another_connection(world: DownstreamWorld) -> None:
     clients = [world.connect_client(), world.connect_client()]
     for client, uid in zip(clients, (ID, ID2), strict=True):
         client.send(request(uid))
@@ -122,14 +120,12 @@
     world.connect_client().sync()
     world.until(lambda: clients[0].read() or clients[0].ended)
     assert clients[0].ended == "end" and not world.back.released
-    world.core.ended(world.back.attempts[0], End(Outcome.SERVED))  # its server tells of the end
+    world.core.ended(world.back.attempts[0], End(Outcome.SERVED))  # its server releases it
     world.until(lambda: clients[1].messages_about(ID) == [("stop", 16)])
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["silent", "asked once"])
-def test_one_in_the_middle_of_a_request_goes_after_those_that_send_nothing(
-    world: DownstreamWorld, asked: bool
-) -> None:
+def test_a_connection_with_a_partial_request_is_evicted_last(world: DownstreamWorld, asked: bool) -> None:
     clients = [world.connect_client(), world.connect_client()]
     for client in clients:
         client.send(line("check", "t", reason=0) * asked + request(ID)[:HALF])
@@ -143,7 +139,7 @@
     assert world.connection_of(clients[0]).is_open
 
 
-def test_half_requests_lock_nobody_out(world: DownstreamWorld) -> None:
+def test_connections_with_partial_requests_are_evicted(world: DownstreamWorld) -> None:
     for _ in range(LIMITS.client_connections):
         client = world.connect_client()
         client.send(request(ID)[:HALF])
@@ -153,8 +149,8 @@
     accept_and_wait(world, client, ID2)
 
 
-def test_a_request_on_a_connection_for_which_there_is_no_room_is_refused(world: DownstreamWorld) -> None:
-    # Closed unread, it was lost with no answer. What is open on the others goes on.
+def test_a_request_on_a_connection_over_the_limit_is_refused(world: DownstreamWorld) -> None:
+    # A close without reading would lose the request. Requests on the other connections go on.
     clients = [world.connect_client(), world.connect_client()]
     for client, uid in zip(clients, (ID, ID2), strict=True):
         world.send_request(client, uid)
@@ -169,7 +165,7 @@
         assert client.messages_about(uid) == [("running", None)]
 
 
-def test_a_flood_of_connections_with_requests_has_each_of_them_answered(world: DownstreamWorld) -> None:
+def test_every_request_of_a_connection_flood_is_answered(world: DownstreamWorld) -> None:
     for uid in (ID, ID2):
         world.send_request(world.connect_client(), uid)
     flood = [world.connect_unaccepted() for _ in range(60)]
@@ -182,7 +178,7 @@
     assert len(world.front.connections) == 2 and not world.front.over_limit_connections.connections
 
 
-def test_a_connection_past_the_limit_that_says_nothing_is_closed_soon(world: DownstreamWorld) -> None:
+def test_a_silent_connection_over_the_limit_is_closed_soon(world: DownstreamWorld) -> None:
     for uid in (ID, ID2):
         world.send_request(world.connect_client(), uid)
     silent = world.connect_client()
@@ -193,10 +189,10 @@
     assert silent.ended == "end" and not world.front.over_limit_connections.connections
 
 
-# Floods and nonsense.
+# Floods and malformed input.
 
 
-def test_requests_past_a_connections_bound_are_refused_and_the_others_served(world: DownstreamWorld) -> None:
+def test_requests_over_a_connections_limit_are_refused(world: DownstreamWorld) -> None:
     client, other = world.connect_client(), world.connect_client()
     uids = [f"{number:016x}" for number in range(400)]
     client.send(b"".join(map(request, uids)))
@@ -212,9 +208,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 700])
-def test_an_endless_line_in_small_pieces_costs_its_bound_and_nobody_else(
-    world: DownstreamWorld, size: int
-) -> None:
+def test_an_endless_line_in_small_pieces_is_cut_at_the_limit(world: DownstreamWorld, size: int) -> None:
     client, other = world.connect_client(), world.connect_client()
     world.send_request(other, ID)
     connection = world.connection_of(client)
@@ -234,8 +228,8 @@
 
 
 @pytest.mark.parametrize("noise", NOISE, ids=lambda one: one[:12])
-def test_what_came_before_nonsense_is_answered(world: DownstreamWorld, noise: bytes) -> None:
-    # The connection is of no further use; reset at once, it took its requests' answers along.
+def test_requests_before_malformed_input_are_answered(world: DownstreamWorld, noise: bytes) -> None:
+    # The connection can't be parsed further, but a reset would discard the answers written before.
     client = world.connect_client()
     world.send_request(client, ID)
     world.act(api.Send(ID, "s0", 0))
@@ -246,7 +240,7 @@
     assert world.back.given_up == [ID] and world.module.offered_calls() == [ID]
 
 
-def test_who_reads_nothing_is_cut_off_alone_once_its_answers_pile_up(world: DownstreamWorld) -> None:
+def test_a_client_with_too_many_unread_messages_is_disconnected(world: DownstreamWorld) -> None:
     client, other = world.connect_client(), world.connect_client()
     world.send_request(client, ID)
     ref = world.send_request(other, ID2)
@@ -259,9 +253,7 @@
     assert world.front.still_waiting(ref)
 
 
-def test_at_the_end_of_the_process_all_are_closed_and_those_past_the_limit_too(
-    world: DownstreamWorld,
-) -> None:
+def test_close_all_closes_connections_over_the_limit_too(world: DownstreamWorld) -> None:
     clients = [world.connect_client(), world.connect_client()]
     for client, uid in zip(clients, (ID, ID2), strict=True):
         world.send_request(client, uid)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's wire over loopback: a scripted caller, booker and the daemon's two sides between them."""
+"""The platform's protocol over loopback, between a scripted client and a scripted booker."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Peer(LineOnlyReceiver):
-    """Collects what it is told."""
+    """Collects the messages that it receives."""
 
     delimiter = b"\n"
     transport: Any
@@ -66,7 +66,7 @@
 
 
 class Stage:
-    """One caller, one booker."""
+    """The platform's front and back between one client and one booker."""
 
     def __init__(self, limits: Limits = LIMITS) -> None:
         deadlines, self.counters = parts()
@@ -88,7 +88,7 @@
         until(lambda: self.bookers)
 
     def connect(self) -> Peer:
-        """Connect one more caller."""
+        """Connect one more client."""
         made: list[Peer] = []
         port = self.ports[1].getHost().port
         connect(reactor, "127.0.0.1", port, 500_000, Peer).addCallback(made.append)
@@ -96,18 +96,18 @@
         return made[0]
 
     def request(self, client: Peer, uid: str, body: str = "v=0\r\n", **odd: Any) -> None:
-        """Send a set-up, with some fields other than they should be."""
+        """Send a set-up, with some fields changed."""
         meta = {"class": "low", "left": "3000", "key": "n", "extras": EXTRAS} | odd
         client.send("launch", uid, meta=meta, body=body)
 
     def set_up(self, uid: str) -> Peer:
-        """Send a set-up and return the booker's end of the connection that it came on."""
+        """Send a set-up and return the booker's end of the connection on which it arrived."""
         self.request(self.client, uid)
         until(lambda: self.peers(uid))
         return self.peers(uid)[-1]
 
     def peers(self, uid: str) -> list[Peer]:
-        """Return the bookers' connections that a set-up came on, in that order."""
+        """Return the booker connections on which a set-up arrived, in order of arrival."""
         found = [(one.launches[uid], one) for one in self.bookers if uid in one.launches]
         return [one for _, one in sorted(found, key=lambda pair: pair[0])]
 
@@ -139,8 +139,8 @@
 
 
 @pytest.mark.parametrize(("gateways", "most"), [(1, 12), (8, 12), (40, 2), (96, 1), (200, 1)])
-def test_a_large_fleets_gateways_leave_each_other_connections(gateways: int, most: int) -> None:
-    # One burst filled a booker's connections with spares that were kept; other gateways had none, for good.
+def test_instances_share_a_bookers_connection_limit(gateways: int, most: int) -> None:
+    # Otherwise one instance's burst fills the booker's connections with spares, and others get none.
     crowded = Stage(LIMITS.shared_by(gateways))
     uids = [f"{number:016x}" for number in range(30)]
     for uid in uids:
@@ -156,8 +156,8 @@
 
 
 @pytest.mark.parametrize("noise", [*BAD_LINES, *NO_ID, b'{"kind":"launch","uid":"9b1f', b""])
-def test_a_caller_that_can_not_be_answered_is_closed_on(stage: Stage, noise: bytes) -> None:
-    # It is owed an answer, an error or a close; and an endless line must not be read to its end.
+def test_a_client_sending_malformed_input_is_closed(stage: Stage, noise: bytes) -> None:
+    # The client must get an answer, an error or a close, and an endless line must not be read to its end.
     booker = stage.set_up(ID)
     other = stage.connect()
     other.transport.write(noise)
@@ -176,16 +176,16 @@
 
 
 @pytest.mark.parametrize("odd", INVALID_FIELDS, ids=str)
-def test_figures_that_make_no_sense_are_answered_and_never_sent_on(stage: Stage, odd: dict[str, Any]) -> None:
-    # A booker is not told the figures: it would answer, and nonsense would be served.
+def test_requests_with_invalid_fields_fail_and_are_never_sent_on(stage: Stage, odd: dict[str, Any]) -> None:
+    # Bookers do not receive the extras, so they would accept a request with invalid ones.
     stage.request(stage.client, ID, **odd)
     until(lambda: stage.client.got)
     assert stage.client.kinds(ID) == [("stop", 41)] and not stage.core.calls and not stage.peers(ID)
     stage.set_up(ID2)  # the connection is as good as before
 
 
-def test_an_open_calls_id_that_comes_again_does_not_end_the_call(stage: Stage) -> None:
-    # On its connection an answer could not be told from the open call's; elsewhere a close says enough.
+def test_a_duplicate_of_an_open_id_does_not_end_the_call(stage: Stage) -> None:
+    # On the same connection a second answer could not be told from the open call's; others are closed.
     booker = stage.set_up(ID)
     other = stage.connect()
     stage.request(other, ID, body="another")
@@ -201,8 +201,8 @@
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["who say nothing", "who asked once and hold on"])
-def test_callers_who_fill_the_limit_lock_nobody_out(stage: Stage, asks: bool) -> None:
-    # Yet a connection on which a set-up is open must never make room.
+def test_idle_clients_at_the_limit_are_evicted(stage: Stage, asks: bool) -> None:
+    # A connection with an open set-up must never be evicted.
     stage.set_up(ID)
     idle = [stage.connect() for _ in range(LIMITS.client_connections - 1)]
     for number, one in enumerate(idle if asks else ()):
@@ -212,11 +212,11 @@
     stage.set_up(ID2)
     until(lambda: idle[0].lost)
     assert not any(one.lost for one in idle[1:])
-    assert stage.peers(ID)[0].kinds(ID) == [("launch", None)]  # not given up
+    assert stage.peers(ID)[0].kinds(ID) == [("launch", None)]  # not cancelled
 
 
-def test_a_connection_just_made_is_not_the_first_to_make_room(stage: Stage) -> None:
-    # Its set-up is on its way, while one that asked and holds on may be there for good.
+def test_a_new_connection_is_not_evicted_first(stage: Stage) -> None:
+    # Its set-up is on its way, while a connection kept open after an answer may stay for good.
     holder = stage.connect()
     stage.request(holder, ID2, left="0")
     until(lambda: holder.got)
@@ -226,7 +226,7 @@
     assert not any(one.lost for one in young)
 
 
-def test_who_holds_a_connection_after_a_call_is_no_silent_one(stage: Stage) -> None:
+def test_an_idle_client_with_a_call_is_not_closed_as_silent(stage: Stage) -> None:
     stage.set_up(ID).send("running", ID, body="x")
     silent = stage.connect()
     until(lambda: silent.lost)
@@ -234,7 +234,7 @@
     assert not stage.client.lost
 
 
-def test_nobody_ends_another_callers_set_up(stage: Stage) -> None:
+def test_a_client_cannot_cancel_another_clients_set_up(stage: Stage) -> None:
     booker = stage.set_up(ID)
     other = stage.connect()
     other.send("stop", ID, reason=16)
@@ -242,15 +242,15 @@
     until(lambda: other.kinds("t"))
     booker.send("running", ID, body="x")
     until(lambda: stage.client.kinds(ID))
-    other.send("stop", ID, reason=16)  # but a call that stands belongs to no connection
+    other.send("stop", ID, reason=16)  # an established call belongs to no connection
     until(lambda: booker.kinds(ID)[1:] == [("stop", 16)])
-    # It may be a set-up given up as our answer crossed it: the call stood, and its end is told.
+    # A cancel may have crossed our answer: the call was established, so its release is sent.
     until(lambda: stage.client.kinds(ID) == [("running", None), ("stop", 16)])
 
 
 @pytest.mark.parametrize("first", [True, False], ids=["another is served", "the next is served"])
-def test_a_release_whose_connection_has_gone_goes_to_one_that_was_served(stage: Stage, first: bool) -> None:
-    # The others may all be bad clients', and what they are told never reaches the caller.
+def test_a_release_goes_to_a_served_connection_if_its_own_is_closed(stage: Stage, first: bool) -> None:
+    # Other connections may belong to faulty clients, and a release sent there would be lost.
     stage.request(stage.connect(), "00000000000000b1")
     if first:
         stage.set_up(ID2).send("running", ID2, body="x")
@@ -276,8 +276,8 @@
 @pytest.mark.parametrize(
     "noise", [*BAD_LINES, f'{{"kind":"running","uid":"{ID}","body":7}}\n'.encode()], ids=lambda n: n[:12]
 )
-def test_a_booker_that_can_not_be_read_loses_its_connection_and_no_time(stage: Stage, noise: bytes) -> None:
-    # The connection is of no further use: what was open on it would wait out its time for nothing.
+def test_a_malformed_booker_line_fails_its_attempts_at_once(stage: Stage, noise: bytes) -> None:
+    # The connection can't be parsed further: attempts pending on it would wait until they time out.
     booker = stage.set_up(ID)
     booker.transport.write(noise)
     until(lambda: booker.lost and len(stage.peers(ID)) == 2)
@@ -287,8 +287,8 @@
     assert stage.client.kinds(ID) == [("running", None)]
 
 
-def test_a_lost_connection_takes_one_set_up_along(stage: Stage) -> None:
-    # Set-ups that share a connection are spoilt together.
+def test_a_lost_connection_fails_only_its_own_set_up(stage: Stage) -> None:
+    # Set-ups that share a connection fail together.
     first = stage.set_up(ID)
     second = stage.set_up(ID2)
     first.transport.abortConnection()
@@ -297,8 +297,8 @@
     assert len(stage.peers(ID2)) == 1
 
 
-def test_a_release_that_went_down_with_its_connection_comes_on_the_next_one(stage: Stage) -> None:
-    # A booker sends it again on the next connection that is opened: with others left, none was.
+def test_a_release_lost_with_its_connection_arrives_on_the_next_one(stage: Stage) -> None:
+    # The booker repeats it on the next new connection, so one must be opened even if others are left.
     booker = stage.set_up(ID)
     booker.send("running", ID, body="x")
     until(lambda: stage.client.got and len(stage.bookers) == 2)
@@ -309,8 +309,8 @@
     until(lambda: stage.client.kinds(ID)[1:] == [("stop", 16)])
 
 
-def test_a_connection_that_is_passed_over_is_dropped(stage: Stage) -> None:
-    # A booker answers in turn: the answer to a set-up that a much later one has overtaken will not come.
+def test_a_connection_whose_answer_was_skipped_is_retired(stage: Stage) -> None:
+    # A booker answers in order: once a much later set-up is answered, the earlier answer will not come.
     first = stage.set_up(ID)
     pause(0.05)
     stage.set_up(ID2).send("running", ID2, body="x")
@@ -319,8 +319,8 @@
     assert first.kinds(ID) == [("launch", None), ("stop", 16)]
 
 
-def test_a_connection_set_aside_as_silent_still_brings_releases(stage: Stage) -> None:
-    # It was reset after 25 ms of silence with a release on its way, whose call then stood for ever.
+def test_a_connection_retired_as_silent_still_delivers_releases(stage: Stage) -> None:
+    # A reset after 25 ms of silence lost a release on its way, and its call never ended.
     booker = stage.set_up(ID)
     booker.send("running", ID, body="x")
     until(lambda: stage.client.got)
@@ -336,8 +336,8 @@
 
 
 @pytest.mark.parametrize("noise", SHORT_BAD_LINES, ids=lambda one: one[:12])
-def test_a_release_behind_a_line_that_can_not_be_read_is_heard(stage: Stage, noise: bytes) -> None:
-    # The connection was reset with the release unread: its call stood for ever, and its caller never heard.
+def test_a_release_after_a_malformed_line_is_handled(stage: Stage, noise: bytes) -> None:
+    # A reset with the release unread lost it: the call never ended, and its client was not notified.
     booker = stage.set_up(ID)
     booker.send("running", ID, body="x")
     until(lambda: stage.client.got)
@@ -347,7 +347,7 @@
     until(lambda: booker.lost)
 
 
-def test_a_release_on_its_way_when_a_connection_set_aside_is_closed_is_heard(stage: Stage) -> None:
+def test_a_release_crossing_the_close_of_a_retired_connection_is_handled(stage: Stage) -> None:
     booker = stage.set_up(ID)
     booker.send("running", ID, body="x")
     until(lambda: stage.client.got)
@@ -355,7 +355,7 @@
     stage.request(stage.client, ID2, left="400")
     until(lambda: stage.counters["booker.set_aside.silent"] == 1)
     (aside,) = (one.transport for one in used if one not in stage.back.pools["s0"].connections)
-    aside.stopReading()  # what comes now lies unread until our side is closed, as in a busy moment
+    aside.stopReading()  # input stays unread until our side is closed, as under load
     booker.send("stop", ID, reason=16)
     until(lambda: stage.counters["booker.parted.silent"] == 1)
     aside.startReading()
@@ -364,7 +364,7 @@
 
 
 def on_heartbeat(peer: Peer, act: Any) -> None:
-    """Let a booker's end do something when a test comes."""
+    """Let a booker's connection call `act` when a heartbeat arrives."""
     usual = peer.lineReceived
 
     def received(line: bytes) -> None:
@@ -375,13 +375,13 @@
     peer.lineReceived = received  # type: ignore[method-assign]
 
 
-def test_a_connection_whose_reset_did_not_come_is_tested_beside_one_that_is_heard(stage: Stage) -> None:
-    # Tests were passed on the other one, so that the booker seemed alive for as long as the list named it.
+def test_a_quiet_connection_gets_heartbeats_beside_an_active_one(stage: Stage) -> None:
+    # Heartbeats answered on another connection made the booker seem alive for as long as it was listed.
     dead = stage.set_up(ID)
     dead.send("running", ID, body="x")
     until(lambda: stage.client.got and len(stage.bookers) == 2)
     (other,) = (one for one in stage.bookers if one is not dead)
-    on_heartbeat(dead, dead.transport.abortConnection)  # what a machine answers whose process has ended
+    on_heartbeat(dead, dead.transport.abortConnection)  # as the host does when the process has ended
     on_heartbeat(other, lambda: other.send("checked", "0" * 16, reason=1))
     end = time.monotonic() + 20
     while not dead.lost:
@@ -390,26 +390,26 @@
         pause(0.1)
 
 
-def test_a_refused_connection_has_the_others_tested_at_once(stage: Stage) -> None:
+def test_a_refused_connect_sends_heartbeats_on_the_others_at_once(stage: Stage) -> None:
     first = stage.set_up(ID)
     first.send("running", ID, body="x")
     until(lambda: stage.client.got and len(stage.bookers) == 2)
     (second,) = (one for one in stage.bookers if one is not first)
     on_heartbeat(second, second.transport.abortConnection)
-    stage.ports[0].stopListening()  # the process has ended, and only one reset comes through
+    stage.ports[0].stopListening()  # the process has ended, and only one reset arrives
     pause(0.02)
     first.transport.abortConnection()
     end = time.monotonic() + 10
     while stage.client.kinds(ID)[1:] != [("stop", 41)]:
         assert time.monotonic() < end, "the caller was never told"
-        second.send("usage", "0" * 16)  # it is heard: only the refusal makes it suspect
+        second.send("usage", "0" * 16)  # it is alive: only the refusal makes it suspect
         pause(0.1)
 
 
 @pytest.mark.parametrize("teller", [0, 1])
-def test_the_state_of_the_lines_is_heard_on_whichever_connection_it_comes(stage: Stage, teller: int) -> None:
-    # A booker tells it on some of its connections, and no other report may come at all: heard on the first
-    # alone, the lines told last were used up one by one, and then every call was refused beside idle lines.
+def test_load_reports_are_handled_on_any_connection(stage: Stage, teller: int) -> None:
+    # A booker reports on some of its connections only. Listening on the first alone, the core used up the
+    # free lines last reported one by one, and then refused every call beside idle lines.
     stage.set_up(ID)
     until(lambda: len(stage.bookers) == 2)
     told: list[Any] = []
@@ -420,7 +420,7 @@
         booker.send("usage", "0" * 16, meta={"load": "free:7;size:9"})
     until(lambda: told[-1:] == [("s0", 7.0)])
     pause(0.05)
-    assert told == [("s0", 0.0), ("s0", 7.0)]  # on two connections at once it is one report
+    assert told == [("s0", 0.0), ("s0", 7.0)]  # equal reports on two connections count once
 
 
 REPORT, BARE = {"load": "hold_back:0.3"}, {"load": "nonsense"}
@@ -429,15 +429,15 @@
     ([REPORT, REPORT], [0.3], "booker.probes_unasked"),  # doubled
     ([BARE], [], "booker.probes_without_report"),
     ([{}], [], "booker.probes_without_report"),
-    ([], [None], "booker.probes_lost"),  # never, and the booker says nothing else either
+    ([], [None], "booker.probes_lost"),  # no answer, and nothing else from the booker
 ]
 
 
 @pytest.mark.parametrize(("answers", "told", "counted"), PROBES)
-def test_a_probe_is_answered_once_or_lost_and_each_odd_answer_is_counted(
+def test_a_probe_is_answered_once_or_lost_and_odd_answers_are_counted(
     stage: Stage, answers: list[dict[str, Any]], told: list[float | None], counted: str
 ) -> None:
-    # Where load is told in answers to probes alone, nothing carried the module's probes out.
+    # Some bookers report their load only in answers to probes, so the module's probes must be sent.
     (booker,) = stage.bookers
     got: list[float | None] = []
     stage.core.probed = lambda booker, took_us, report: got.append(report.shed_share if report else None)  # type: ignore[method-assign]
@@ -466,7 +466,7 @@
     assert len(booker.got) == 2, "a probe to one that drains"
 
 
-def test_a_lost_probe_of_a_booker_that_is_heard_tells_no_wait(stage: Stage) -> None:
+def test_a_lost_probe_of_an_active_booker_reports_no_time(stage: Stage) -> None:
     got: list[Any] = []
     stage.core.probed = lambda *told: got.append(told)  # type: ignore[method-assign]
     stage.core.settings = replace(SETTINGS, may_probe=True)
@@ -478,10 +478,10 @@
 
 
 @pytest.mark.parametrize("state", [SwitchState.DRAINING, SwitchState.READY])
-def test_one_that_drains_and_refuses_is_not_called_again_until_it_is_ready(
+def test_a_draining_booker_that_refuses_gets_no_reconnects_until_ready(
     stage: Stage, state: SwitchState
 ) -> None:
-    # Two hundred restarted controllers called each draining booker twice a second for nothing.
+    # 200 restarted instances reconnected to each draining booker twice a second for nothing.
     at = stage.ports[0].getHost().port
     stage.back.update_endpoints([BookerEndpoint("s0", "127.0.0.1", at, state, 0)], False)
     stage.ports[0].stopListening()
@@ -495,7 +495,7 @@
     until(lambda: len(stage.bookers) > 1)
 
 
-def test_one_that_goes_on_with_nonsense_is_read_no_further(stage: Stage) -> None:
+def test_a_booker_that_keeps_sending_garbage_is_disconnected(stage: Stage) -> None:
     booker = stage.set_up(ID)
     booker.transport.write(b"{nonsense\n")
     until(lambda: stage.counters["booker.parted.bad_line"] == 1)
@@ -504,7 +504,7 @@
     until(lambda: stage.counters["booker.dropped.nonsense"] == 1 and booker.lost)
 
 
-def test_a_short_silence_is_no_reason_to_leave_a_connection(stage: Stage) -> None:
+def test_a_short_silence_does_not_retire_a_connection(stage: Stage) -> None:
     booker = stage.set_up(ID)
     booker.send("running", ID, body="x")
     until(lambda: stage.client.got)
@@ -513,7 +513,7 @@
     assert not stage.counters["booker.set_aside.silent"]
 
 
-def test_a_booker_that_resets_every_new_connection_is_not_called_in_a_tight_loop(stage: Stage) -> None:
+def test_reconnects_are_delayed_after_repeated_resets(stage: Stage) -> None:
     for known in range(1, 5):  # a few in a row are bad luck, and a call may wait
         until(lambda known=known: len(stage.bookers) == known)  # type: ignore[misc]
         pause(0.02)
@@ -523,7 +523,7 @@
     until(lambda: len(stage.bookers) == 5)
 
 
-def test_second_copies_and_unknown_ids_harm_nobody(stage: Stage) -> None:
+def test_duplicate_answers_and_unknown_ids_are_ignored(stage: Stage) -> None:
     booker = stage.set_up(ID)
     for uid in (ID2, ID, ID):
         booker.send("running", uid, body="x")
@@ -537,8 +537,8 @@
 
 
 @pytest.mark.parametrize("stands", [True, False])
-def test_a_booker_that_says_a_call_was_cut_is_not_taken_for_dead(stage: Stage, stands: bool) -> None:
-    # It loses lines, not its process: held against it, it was left single trials.
+def test_a_booker_that_reports_a_cut_call_is_not_suspect(stage: Stage, stands: bool) -> None:
+    # It lost lines, not its process; taken for dead, it would get single trial calls only.
     booker = stage.set_up(ID)
     if stands:
         booker.send("running", ID, body="x")
@@ -547,7 +547,7 @@
     assert not stage.module.switches["s0"].suspect
 
 
-def test_a_dead_booker_cuts_what_stood_there(stage: Stage) -> None:
+def test_a_dead_bookers_calls_are_cut(stage: Stage) -> None:
     stage.set_up(ID).send("running", ID, body="x")
     until(lambda: stage.client.kinds(ID))
     stage.ports[0].stopListening()
@@ -557,15 +557,15 @@
     assert stage.client.kinds(ID)[1] == ("stop", 41)
 
 
-def test_a_caller_that_gives_up_is_owed_nothing_and_the_booker_is_told(stage: Stage) -> None:
+def test_a_cancel_is_not_answered_and_reaches_the_booker(stage: Stage) -> None:
     booker = stage.set_up(ID)
     stage.client.send("stop", ID, reason=16)
     until(lambda: booker.kinds(ID)[1:] == [("stop", 16)])
     assert not stage.client.got and not stage.core.calls
 
 
-def test_nothing_is_kept_of_bookers_callers_and_calls_that_have_gone(stage: Stage) -> None:
-    # Bookers, ids and connections are new all day: what is kept of each would fill the memory.
+def test_no_state_is_kept_of_removed_bookers_clients_and_calls(stage: Stage) -> None:
+    # Bookers, ids and connections change all day: state kept for each would fill the memory.
     port = stage.ports[0].getHost().port
     for number in range(1, 6):
         uid, name, caller = f"{number:016x}", f"s{number}", stage.connect()
@@ -595,7 +595,7 @@
 
 
 class LivePeer(Peer):
-    """A booker's connection that passes tests, as a live booker does."""
+    """A booker's connection that answers heartbeats, as a live booker does."""
 
     def lineReceived(self, line: bytes) -> None:
         super().lineReceived(line)
@@ -604,12 +604,10 @@
 
 
 @pytest.mark.parametrize("alive", [False, True])
-def test_a_booker_that_refuses_new_connections_beside_silent_ones_is_dead_only_if_it_fails_a_test(
-    stage: Stage, alive: bool
-) -> None:
-    # Its process died and left its connections open and silent: refused beside them was taken for full,
-    # and the call that stood there was never told as cut (mass bench, herd day: lost, 8 s after its end).
-    # A live booker that is merely full passes the test and keeps its call.
+def test_a_booker_that_refuses_connects_is_dead_only_if_heartbeats_fail(stage: Stage, alive: bool) -> None:
+    # A process died and left its connections open and silent. The refusal beside them was taken for a full
+    # booker, and its call was not reported as cut within the 8 s allowed (mass bench, herd day). A live
+    # booker that is merely full answers the heartbeat and keeps its call.
     booker = stage.set_up(ID)
     booker.send("running", ID, body="x")
     until(lambda: stage.client.kinds(ID))
--- a/tests/test_stalled_loop.py
+++ b/tests/test_stalled_loop.py
@@ -1,4 +1,4 @@
-"""A loop that stood still: what came meanwhile goes before the timers, and its wait counts as time passed."""
+"""After a blocked event loop, waiting input is handled before due timers, and its waiting time counts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def block_past_the_pause(stage: Stage) -> None:
-    """Stand still until the timer of a request that waits for a release is due."""
+    """Block until the timer of a request that waits for a release is due."""
     deadlines = stage.front.deadlines
     block_loop_until(deadlines, stage.core.by_uid[ID].held_until_us + 5 * MS)
 
@@ -40,10 +40,10 @@
 
 
 @pytest.mark.parametrize("leave", [cancelled, closed])
-def test_a_retry_that_is_due_while_its_clients_leaving_lies_unread_is_not_sent(
+def test_a_due_retry_is_not_sent_if_its_clients_cancel_is_unread(
     stage: Stage, leave: Callable[[Stage], None]
 ) -> None:
-    # The timer ran before the sockets were read: the request went on long after its client had left.
+    # A timer that runs before the sockets are read would send the request after its client had left.
     server = stage.set_up(ID)
     server.send("stop", ID, reason=41)
     until(lambda: stage.counters["outcomes.cut"] == 1)
@@ -55,7 +55,7 @@
     assert sum(one.kinds(ID).count(("launch", None)) for one in stage.bookers) == 1
 
 
-def test_a_retry_that_is_due_goes_out_when_nothing_lies_unread(stage: Stage) -> None:
+def test_a_due_retry_is_sent_when_nothing_is_unread(stage: Stage) -> None:
     server = stage.set_up(ID)
     server.send("stop", ID, reason=41)
     until(lambda: stage.counters["outcomes.cut"] == 1)
@@ -63,7 +63,7 @@
     until(lambda: sum(one.kinds(ID).count(("launch", None)) for one in stage.bookers) == 2)
 
 
-def test_an_answer_that_came_in_time_goes_before_the_deadline_that_is_due_with_it(stage: Stage) -> None:
+def test_an_answer_received_in_time_is_handled_before_its_due_deadline(stage: Stage) -> None:
     server = stage.set_up(ID)
     attempt = stage.core.by_uid[ID].out
     assert attempt is not None
@@ -79,10 +79,8 @@
 
 
 @pytest.mark.parametrize("new", [False, True], ids=["on an open connection", "on a new connection"])
-def test_the_deadline_passed_on_counts_the_time_for_which_a_request_lay_unread(
-    stage: Stage, new: bool
-) -> None:
-    # The client's time was counted from the read: the server was told 0.4 s more than the client had.
+def test_the_time_left_sent_on_excludes_the_time_a_request_was_unread(stage: Stage, new: bool) -> None:
+    # Counted from the read, the time sent to the server was 0.4 s more than the client had left.
     peer: object = stage.client
     if new:
         peer = socket.create_connection(("127.0.0.1", stage.ports[1].getHost().port))
@@ -98,8 +96,8 @@
         peer.close()
 
 
-def test_a_connection_made_and_written_while_the_loop_stood_still_counts_from_then(stage: Stage) -> None:
-    # It is accepted in one turn and read in the next: its bytes are older than the poll before that.
+def test_a_request_on_a_new_connection_counts_from_before_the_stall(stage: Stage) -> None:
+    # It is accepted in one turn and read in the next, so its bytes are older than the last poll.
     pause(0.02)
     sent_us = stage.front.deadlines.now_us()
     with socket.create_connection(("127.0.0.1", stage.ports[1].getHost().port)) as peer:
@@ -109,8 +107,8 @@
     assert 0 < int(stage.peers(ID)[0].got[-1]["meta"]["left"]) <= 600
 
 
-def test_a_set_up_leaves_in_the_turn_in_which_its_time_was_computed(stage: Stage) -> None:
-    # It left in the loop's next turn, and a busy one takes long: its time was no longer true.
+def test_a_set_up_is_written_in_the_turn_that_computes_its_time_left(stage: Stage) -> None:
+    # Written in the loop's next turn, after a long busy one, its time left would be outdated.
     (server,) = stage.bookers
     until(lambda: stage.back.pools["s0"].connections)
     deliver_request(stage, ID)
@@ -121,7 +119,7 @@
 
 
 class ScriptedPoller:
-    """A poller and its clock: each poll takes what the script says, and so does the work after it."""
+    """A poller with its own clock: each poll, and the work after it, takes a scripted time."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -133,7 +131,7 @@
         return []
 
     def poll_then_work(self, polls: TimedPoller, takes: float, work: float, timeout_s: float = 1.0) -> float:
-        """Poll, and return how old input read then may be; then be busy for a while."""
+        """Poll, and return how old the input read then may be; then work for a while."""
         self.takes = takes
         polls.poll(timeout_s, 1)
         age = self.now - polls.arrival_s
@@ -141,7 +139,7 @@
         return round(age, 6)
 
 
-def test_input_found_by_a_poll_that_had_to_wait_has_just_come() -> None:
+def test_input_found_by_a_blocking_poll_has_just_arrived() -> None:
     script = ScriptedPoller()
     polls = TimedPoller(script, lambda: script.now)
     assert script.poll_then_work(polls, takes=0.5, work=0.3) == 0
@@ -152,11 +150,11 @@
     assert script.poll_then_work(polls, takes=0.0, work=0.2, timeout_s=0.0) == 0
     assert (
         script.poll_then_work(polls, takes=0.1, work=0.0, timeout_s=0.0) == 0.3
-    )  # it did not block: it was kept
+    )  # a poll that does not block keeps the age
     assert script.poll_then_work(polls, takes=0.2, work=0.0) == 0
 
 
-def test_the_reactor_is_watched_once_however_many_clocks_it_has(stage: Stage) -> None:
+def test_several_clocks_share_one_timed_poller(stage: Stage) -> None:
     watched = reactor._poller
     assert isinstance(watched, TimedPoller)
     ReactorClock(reactor)
--- a/tests/test_upstream_descriptors.py
+++ b/tests/test_upstream_descriptors.py
@@ -1,4 +1,4 @@
-"""The connections to all servers stay within their descriptors, and a lack of ours is no server's fault."""
+"""Connections to servers stay within their descriptor quota; a lack of descriptors is no server fault."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordingCore:
-    """Keeps what the back tells."""
+    """Records what the back reports."""
 
     def __init__(self) -> None:
         self.ends: list[tuple[str, Outcome]] = []
@@ -91,11 +91,11 @@
     one.close()
 
 
-def test_past_the_share_no_connection_is_made_and_a_request_goes_elsewhere(rig: UpstreamHarness) -> None:
+def test_over_the_quota_an_attempt_fails_at_once(rig: UpstreamHarness) -> None:
     rig.list_all()
     until(lambda: rig.open_connections() == [1, 1, 0])
     rig.set_up(ID, 2)
-    assert rig.core.ends == [(ID, Outcome.NO_CONNECTION)]  # at once, so that another server is asked
+    assert rig.core.ends == [(ID, Outcome.NO_CONNECTION)]  # at once, so that another server is tried
     for _ in range(10):
         rig.clock.advance(rig.limits.booker_retry_us)
         pause(0.005)
@@ -116,7 +116,7 @@
     assert rig.back.descriptor_quota.in_use == 0
 
 
-def test_one_server_gets_no_more_than_its_part() -> None:
+def test_a_server_gets_at_most_its_part_of_the_quota() -> None:
     rig = UpstreamHarness(upstream_connections=7)
     rig.list_all()
     until(lambda: rig.open_connections() == [1, 1, 1])
@@ -128,7 +128,7 @@
 
 
 def establish_silent_call(rig: UpstreamHarness) -> None:
-    """Let a call stand at the first server, which then says nothing for so long that it is looked after."""
+    """Establish a call at the first server, which sends nothing afterwards."""
     rig.list_all()
     until(lambda: rig.open_connections()[0] == 1)
     rig.set_up(ID, 0)
@@ -137,7 +137,7 @@
     until(lambda: rig.core.accepted)
 
 
-def test_a_lack_of_descriptors_cuts_no_call_that_stands(rig: UpstreamHarness) -> None:
+def test_a_lack_of_descriptors_cuts_no_established_call(rig: UpstreamHarness) -> None:
     establish_silent_call(rig)
     rig.clock.advance(rig.limits.booker_silent_us + 2 * rig.limits.booker_retry_us)
     pause(0.02)
@@ -146,7 +146,7 @@
     until(lambda: rig.core.ends == [(ID, Outcome.SERVED)])
 
 
-def test_a_socket_that_the_system_refuses_cuts_no_call_that_stands() -> None:
+def test_a_socket_error_cuts_no_established_call() -> None:
     rig = UpstreamHarness(booker_connections=1)
     establish_silent_call(rig)
     until(lambda: rig.open_connections() == [1, 1, 1])
