--- a/bitternbeam/net/platform/booker_connection.py
+++ b/bitternbeam/net/platform/booker_connection.py
@@ -115,7 +115,7 @@
         self.send({"kind": "check", "uid": PROBE_ID, "meta": {}, "reason": 1})
 
     def half_close(self, cause: str) -> None:
-        """Close the write side, fail what is pending, and go on reading for `booker_aside_us`.
+        """Close the write side, fail what is pending, and go on reading for `booker_quarantine_us`.
 
         Releases of established calls may be on their way, or unread behind a malformed line. The booker does
         not repeat them after a reset from our side, and their calls would never end.
@@ -126,7 +126,7 @@
         self.counters.add(f"{self.name}.parted.{cause}")
         self.owner.connection_lost(self)
         self.transport.loseWriteConnection()
-        self.deadlines.after(self.limits.booker_aside_us, lambda: self.drop(cause))
+        self.deadlines.after(self.limits.booker_quarantine_us, lambda: self.drop(cause))
 
     def invalid_line_received(self, line: bytes) -> None:
         """Half-close on a line that is no JSON object: the next line may be a release."""
--- a/bitternbeam/net/platform/booker_pool.py
+++ b/bitternbeam/net/platform/booker_pool.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.decision.interface import Outcome, Report
 from bitternbeam.net.platform.booker_connection import BookerConnection, UpstreamRequest
 from bitternbeam.net.platform.connection_pool import BookerEndpoint, ConnectionPool
@@ -50,16 +50,17 @@
         """Handle an unsolicited load report, from whichever connection it comes.
 
         The booker sends the same report on up to four connections of its choice, so equal reports within
-        `booker_told_us` count once. Listening on a single connection would miss all reports if the booker
-        chose others: the core would go on with an outdated count of free lines.
+        `booker_report_repeat_us` count once. Listening on a single connection would miss all reports if the
+        booker chose others: the core would go on with an outdated count of free lines.
         """
         now_us = self.context.deadlines.now_us()
         repeated = (
-            report == self.last_report and now_us - self.last_report_us < self.context.limits.booker_told_us
+            report == self.last_report
+            and now_us - self.last_report_us < self.context.limits.booker_report_repeat_us
         )
         if not self.retired and not repeated:
             self.last_report, self.last_report_us = report, now_us
-            self.context.core.reported(self.endpoint.booker, report)
+            self.context.core.report_received(self.endpoint.booker, report)
 
     def probe(self) -> None:
         """Send a probe, unless one is pending, the booker was removed or no connection is open."""
@@ -80,7 +81,7 @@
         if report is None:
             self.context.counters.add("booker.probes_without_report")
         else:
-            self.context.core.probed(self.name, elapsed_us, report)
+            self.context.core.probe_ended(self.name, elapsed_us, report)
 
     def _probe_timed_out(self, sent_us: int) -> None:
         if self.probe_sent_us != sent_us:
@@ -90,7 +91,7 @@
         # The probe may have been lost with its connection. If the booker has sent anything since, the
         # time-out says nothing about its response time.
         if self.last_received_us < sent_us and not self.retired:
-            self.context.core.probed(self.name, self.context.limits.booker_probe_us, None)
+            self.context.core.probe_ended(self.name, self.context.limits.booker_probe_us, None)
 
     def set_up(self, attempt: Attempt) -> None:
         """Send a set-up, or queue it until a connection is open."""
@@ -99,7 +100,7 @@
         if self.connections:
             self.send(request)
             self.open_spare()
-        elif self.early_losses <= self.context.limits.booker_stillborn:
+        elif self.early_losses <= self.context.limits.booker_early_resets:
             self.connect()
 
     def cancel(self, request: UpstreamRequest, unanswered: bool = False) -> None:
@@ -110,9 +111,9 @@
         )
         if connection is None or not connection.is_open:
             return
-        uid, sent_us = request.attempt.offer.uid, request.attempt.sent_us
+        uid, sent_us = request.attempt.offer.uid, request.attempt.decided_us
         connection.send({"kind": "stop", "uid": uid, "meta": {}, "reason": CAUSE_NORMAL})
-        silent_us = self.context.deadlines.now_us() - self.context.limits.booker_overtaken_us
+        silent_us = self.context.deadlines.now_us() - self.context.limits.booker_skipped_answer_us
         if unanswered and connection.last_received_us < sent_us < silent_us and not connection.pending:
             # A connection that has gone silent looks idle, so it would be chosen for every new set-up.
             self.retire_connection(connection, "silent")
@@ -129,8 +130,8 @@
             self.context.counters.add("booker.late_answers")
             return
         request.established = True
-        self.latest_answered_sent_us = max(self.latest_answered_sent_us, request.attempt.sent_us)
-        if not self.context.core.stood(request.attempt, body):
+        self.latest_answered_sent_us = max(self.latest_answered_sent_us, request.attempt.decided_us)
+        if not self.context.core.attempt_answered(request.attempt, body):
             self.cancel(request)
         self._retire_overtaken()
 
@@ -138,13 +139,13 @@
         """Retire connections on which an answer was skipped.
 
         A booker answers set-ups in the order of their arrival. Once a set-up that was sent more than
-        `booker_overtaken_us` later has been answered, the earlier answer will not come, and waiting for it
+        `booker_skipped_answer_us` later has been answered, the earlier answer will not come; waiting for it
         would use up the attempt's whole time.
         """
-        before_us = self.latest_answered_sent_us - self.context.limits.booker_overtaken_us
+        before_us = self.latest_answered_sent_us - self.context.limits.booker_skipped_answer_us
         for connection in self.connections[:]:
             oldest = next(iter(connection.pending.values()), None)
-            if oldest is not None and oldest.attempt.sent_us < before_us:
+            if oldest is not None and oldest.attempt.decided_us < before_us:
                 self.retire_connection(connection, "overtaken")
 
     def call_stopped(self, connection: BookerConnection, message: Message) -> None:
@@ -169,5 +170,8 @@
         # A booker that loses lines cuts many calls at once; its message shows that the process is alive.
         cut_by_booker = outcome is Outcome.CUT
         self.requests.finish(
-            request, End(outcome, full, no_line, read_report(meta.get("load")), spoilt=cut_by_booker)
+            request,
+            AttemptEnd(
+                outcome, full, no_line, read_report(meta.get("load")), connection_broken=cut_by_booker
+            ),
         )
--- a/bitternbeam/net/platform/client_connection.py
+++ b/bitternbeam/net/platform/client_connection.py
@@ -88,7 +88,7 @@
     @property
     def poll_due(self) -> bool:
         """Whether the last poll is so old that the client may have left; poll again before an attempt."""
-        return self.deadlines.now_us() - self._polled_us >= self.limits.client_look_us
+        return self.deadlines.now_us() - self._polled_us >= self.limits.client_recheck_us
 
     # Transport events.
 
--- a/bitternbeam/net/platform/connection_pool.py
+++ b/bitternbeam/net/platform/connection_pool.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectBindError
 from twisted.python.failure import Failure
 
-from bitternbeam.core.calls import End
+from bitternbeam.core.calls import AttemptEnd
 from bitternbeam.decision.interface import Outcome, Report, SwitchState
 from bitternbeam.net.connect import connect
 from bitternbeam.net.platform.booker_connection import BookerConnection, UpstreamRequest
@@ -154,7 +154,7 @@
         self.connecting -= 1
         deadlines, limits = self.context.deadlines, self.context.limits
         now_us = deadlines.now_us()
-        self.no_spare_until_us = now_us + limits.booker_full_us
+        self.no_spare_until_us = now_us + limits.booker_spare_retry_us
         self.context.counters.add("booker.no_connection")
         if failure.check(NoDescriptorError, ConnectBindError):
             self._connect_without_descriptor()
@@ -194,7 +194,7 @@
         if self.connections or self.connecting:
             return
         for request in self.requests.waiting():
-            self.requests.finish(request, End(Outcome.NO_CONNECTION))
+            self.requests.finish(request, AttemptEnd(Outcome.NO_CONNECTION))
         if not self.closed and not self.retired:
             self._schedule_reconnect()
 
@@ -214,7 +214,7 @@
                     request.connection = None
                 else:
                     # If the process died, the next connect is refused at once.
-                    self.requests.finish(request, End(Outcome.CUT, spoilt=True))
+                    self.requests.finish(request, AttemptEnd(Outcome.CUT, connection_broken=True))
         self.early_losses += not connection.has_received
         if self.retired and not self.connections and not self.closed:
             self.requests.cut_all()
@@ -222,7 +222,7 @@
         elif not self.closed:
             # A release may have been lost with the connection, and its call would never end. The booker
             # repeats it on the next new connection, so one is opened however many are left.
-            if self.early_losses <= self.context.limits.booker_stillborn:
+            if self.early_losses <= self.context.limits.booker_early_resets:
                 self.connect()
             elif not self.connecting:
                 # Without a delay, a peer that accepts and resets would be reconnected to in a tight loop.
@@ -273,5 +273,5 @@
             connection.send({"kind": "stop", "uid": uid, "meta": {}, "reason": CAUSE_NORMAL})
         self.connection_lost(connection)
         self.context.deadlines.after(
-            self.context.limits.booker_aside_us, lambda: connection.half_close(cause)
+            self.context.limits.booker_quarantine_us, lambda: connection.half_close(cause)
         )
--- a/bitternbeam/net/platform/discovery/server_list.py
+++ b/bitternbeam/net/platform/discovery/server_list.py
@@ -28,5 +28,5 @@
             BookerEndpoint(server.server, server.host, server.port, server.state, server.started_us)
             for server in servers
         ]
-        self.core.listed(kind, entries)
+        self.core.update_bookers(kind, entries)
         self.back.update_endpoints(endpoints, complete=kind is not ListKind.CHANGES)
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -224,7 +224,7 @@
 
     # Methods of the core's `Front`.
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         """Pass on the server's acceptance with its session description."""
         request = self.requests.get(ref)
         if request is None or request.finished:
@@ -234,11 +234,11 @@
             connection.send({"kind": "running", "uid": request.uid, "meta": {}, "body": body})
             self.releases.send_waiting(connection)
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         """Refuse a request; its client may retry after `stay_away_us`."""
         self._send_final_stop(ref, CAUSE_REFUSED, stay_away_us)
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         """Answer a request as failed."""
         self._send_final_stop(ref, CAUSE_FAILURE, 0)
 
@@ -251,10 +251,10 @@
         if connection := self._remove_open_request(request):
             connection.send_stop(request.uid, cause, stay_away_us)
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         """Do nothing: this protocol has no progress messages."""
 
-    def released(self, ref: int, outcome: Outcome) -> None:
+    def send_release(self, ref: int, outcome: Outcome) -> None:
         """Send the release of a call to its client (see `ReleaseSender`)."""
         request = self.requests.get(ref)
         if request is None or request.finished:
@@ -264,7 +264,7 @@
         cause = CAUSE_NORMAL if outcome is Outcome.SERVED else CAUSE_FAILURE
         self.releases.send(self._remove_call(request), request.uid, cause)
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         """Read the client's pending input, and return whether it still waits for an answer."""
         request = self.requests.get(ref)
         if request is None:
--- a/bitternbeam/net/platform/inherited_calls.py
+++ b/bitternbeam/net/platform/inherited_calls.py
@@ -22,7 +22,7 @@
         self.counters = counters
         self.own_uids: set[str] | None = set()  # set up by this process; None after `expire`
         self.on_release: Callable[[str, int], None] = lambda _uid, _cause: None
-        deadlines.after(limits.strangers_us, self.expire)
+        deadlines.after(limits.orphaned_calls_us, self.expire)
 
     def expire(self) -> None:
         """Stop passing on releases: the calls of earlier processes have ended."""
--- a/bitternbeam/net/platform/upstream_requests.py
+++ b/bitternbeam/net/platform/upstream_requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bitternbeam.core.calls import Attempt, End
+from bitternbeam.core.calls import Attempt, AttemptEnd
 from bitternbeam.decision.interface import Outcome
 from bitternbeam.net.platform.booker_connection import BookerConnection, ConnectionOwner, UpstreamRequest
 from bitternbeam.net.platform.upstream_context import UpstreamContext
@@ -43,21 +43,24 @@
     def send(self, connection: BookerConnection, request: UpstreamRequest) -> None:
         """Send a set-up, which must have passed `check_allowed`."""
         attempt = request.attempt
-        waited_us = self.context.deadlines.now_us() - attempt.sent_us
+        waited_us = self.context.deadlines.now_us() - attempt.decided_us
         request.connection = connection
         connection.pending[attempt.offer.uid] = request
-        meta = {"class": attempt.offer.call_class, "left": str(max(1, (attempt.left_us - waited_us) // 1000))}
+        meta = {
+            "class": attempt.offer.call_class,
+            "left": str(max(1, (attempt.timeout_us - waited_us) // 1000)),
+        }
         if attempt.offer.number:
             meta["key"] = attempt.offer.number
         connection.send_now(
             {"kind": "launch", "uid": attempt.offer.uid, "meta": meta, "body": attempt.offer.body}
         )
-        self.context.core.written(attempt)
+        self.context.core.attempt_written(attempt)
 
-    def finish(self, request: UpstreamRequest, end: End) -> None:
+    def finish(self, request: UpstreamRequest, end: AttemptEnd) -> None:
         """Remove an attempt and report its end to the core, once."""
         if self.remove(request):
-            self.context.core.ended(request.attempt, end)
+            self.context.core.attempt_ended(request.attempt, end)
 
     def remove(self, request: UpstreamRequest) -> bool:
         """Remove an attempt; False if it was removed before."""
@@ -73,8 +76,8 @@
         They were never sent, so the core may retry their calls at once.
         """
         for request in self.waiting():
-            if since_us is None or request.attempt.sent_us <= since_us:
-                self.finish(request, End(outcome))
+            if since_us is None or request.attempt.decided_us <= since_us:
+                self.finish(request, AttemptEnd(outcome))
 
     def recheck_waiting(self) -> None:
         """End the waiting attempts that the rules or the booker list no longer allow."""
@@ -85,17 +88,17 @@
         """Ask the core whether a set-up, which may have waited long, may still be sent; if not, end it."""
         allowed = self.context.core.may_write(request.attempt)
         if not allowed:
-            self.finish(request, End(Outcome.NOT_SENT))
+            self.finish(request, AttemptEnd(Outcome.NOT_SENT))
         return allowed
 
     def cut_all(self) -> None:
         """End all attempts: waiting ones as not sent, the others as cut."""
         self.finish_waiting(Outcome.NOT_SENT)
         for request in self.all():
-            self.finish(request, End(Outcome.CUT))
+            self.finish(request, AttemptEnd(Outcome.CUT))
 
     def cut_sent_before(self, started_us: int) -> None:
         """Cut what was sent before the booker restarted: the process that held it has ended."""
         for request in self.all():
-            if request.attempt.sent_us < started_us and not request.attempt.unsent:
-                self.finish(request, End(Outcome.CUT))
+            if request.attempt.decided_us < started_us and not request.attempt.unsent:
+                self.finish(request, AttemptEnd(Outcome.CUT))
