--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -40,7 +40,7 @@
     client = world.connect_client()
     ref = world.send_request(client, ID)
     assert world.front.is_client_waiting(ref) and world.front.is_client_waiting(ref)
-    assert not world.front.is_client_waiting(ref + (1 << 24)), "a handle of nobody's"
+    assert not world.front.is_client_waiting(ref + (1 << 24)), "an unknown handle"
 
 
 @leaves
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -127,14 +127,14 @@
     one.close()
 
 
-@pytest.mark.parametrize(("cause", "told"), [(16, 16), (41, 41)])
-def test_a_call_stands_and_its_release_is_relayed(stage: Stage, cause: int, told: int) -> None:
+@pytest.mark.parametrize(("cause", "relayed"), [(16, 16), (41, 41)])
+def test_a_call_stands_and_its_release_is_relayed(stage: Stage, cause: int, relayed: int) -> None:
     booker = stage.set_up(ID)
     assert booker.got[0]["body"] == "v=0\r\n" and 0 < int(booker.got[0]["meta"]["left"]) <= 1500
     booker.send("running", ID, body="v=1\r\n")
     booker.send("stop", ID, reason=cause)
     until(lambda: len(stage.client.kinds(ID)) == 2)
-    assert stage.client.kinds(ID) == [("running", None), ("stop", told)]
+    assert stage.client.kinds(ID) == [("running", None), ("stop", relayed)]
     assert stage.client.got[0]["body"] == "v=1\r\n" and len(stage.core.calls) == 0
 
 
@@ -200,7 +200,7 @@
     assert [one.kinds(ID) for one in stage.peers(ID)] == [[("launch", None)]]
 
 
-@pytest.mark.parametrize("asks", [False, True], ids=["who say nothing", "who asked once and hold on"])
+@pytest.mark.parametrize("asks", [False, True], ids=["silent", "idle after a request"])
 def test_idle_clients_at_the_limit_are_evicted(stage: Stage, asks: bool) -> None:
     # A connection with an open set-up must never be evicted.
     stage.set_up(ID)
@@ -385,7 +385,7 @@
     on_heartbeat(other, lambda: other.send("checked", "0" * 16, reason=1))
     end = time.monotonic() + 20
     while not dead.lost:
-        assert time.monotonic() < end, "it was never tested"
+        assert time.monotonic() < end, "no heartbeat arrived"
         other.send("usage", "0" * 16)
         pause(0.1)
 
@@ -401,7 +401,7 @@
     first.transport.abortConnection()
     end = time.monotonic() + 10
     while stage.client.kinds(ID)[1:] != [("stop", 41)]:
-        assert time.monotonic() < end, "the caller was never told"
+        assert time.monotonic() < end, "the client never got the release"
         second.send("usage", "0" * 16)  # it is alive: only the refusal makes it suspect
         pause(0.1)
 
@@ -412,15 +412,15 @@
     # free lines last reported one by one, and then refused every call beside idle lines.
     stage.set_up(ID)
     until(lambda: len(stage.bookers) == 2)
-    told: list[Any] = []
-    stage.core.report_received = lambda booker, report: told.append((booker, report.free_lines))  # type: ignore[method-assign]
+    reports: list[Any] = []
+    stage.core.report_received = lambda booker, report: reports.append((booker, report.free_lines))  # type: ignore[method-assign]
     stage.bookers[teller].send("usage", "0" * 16, meta={"load": "free:0;size:9"})
-    until(lambda: told)
+    until(lambda: reports)
     for booker in stage.bookers:
         booker.send("usage", "0" * 16, meta={"load": "free:7;size:9"})
-    until(lambda: told[-1:] == [("s0", 7.0)])
+    until(lambda: reports[-1:] == [("s0", 7.0)])
     pause(0.05)
-    assert told == [("s0", 0.0), ("s0", 7.0)]  # equal reports on two connections count once
+    assert reports == [("s0", 0.0), ("s0", 7.0)]  # equal reports on two connections count once
 
 
 REPORT, BARE = {"load": "hold_back:0.3"}, {"load": "nonsense"}
@@ -433,9 +433,9 @@
 ]
 
 
-@pytest.mark.parametrize(("answers", "told", "counted"), PROBES)
+@pytest.mark.parametrize(("answers", "expected", "counter"), PROBES)
 def test_a_probe_is_answered_once_or_lost_and_odd_answers_are_counted(
-    stage: Stage, answers: list[dict[str, Any]], told: list[float | None], counted: str
+    stage: Stage, answers: list[dict[str, Any]], expected: list[float | None], counter: str
 ) -> None:
     # Some bookers report their load only in answers to probes, so the module's probes must be sent.
     (booker,) = stage.bookers
@@ -444,31 +444,31 @@
     probe = api.Probe("s0")
     stage.core.execute_action(probe)
     pause(0.05)
-    assert not booker.got, "a probe without leave"
+    assert not booker.got, "a probe although may_probe is false"
     stage.core.settings = replace(SETTINGS, may_probe=True)
     stage.core.execute_action(probe)
     stage.core.execute_action(probe)
     until(lambda: booker.got)
     asked = [(one["kind"], one["reason"]) for one in booker.got]
-    assert asked == [("check", 1)], "one probe out a booker"
+    assert asked == [("check", 1)], "one pending probe per booker"
     for meta in answers:
         booker.send("checked", booker.got[0]["uid"], meta=meta, reason=1)
-    until(lambda: stage.counters[counted])
+    until(lambda: stage.counters[counter])
     pause(0.05)
-    assert got == told
+    assert got == expected
     stage.core.execute_action(probe)
     until(lambda: len(booker.got) == 2)  # and then the next may go
     stage.core.update_bookers(ListKind.CHANGES, [SwitchEntry("s0", 0, SwitchState.DRAINING)])
     booker.send("checked", booker.got[1]["uid"], meta=REPORT, reason=1)
-    until(lambda: len(got) == len(told) + 1)
+    until(lambda: len(got) == len(expected) + 1)
     stage.core.execute_action(probe)
     pause(0.05)
-    assert len(booker.got) == 2, "a probe to one that drains"
+    assert len(booker.got) == 2, "a probe to a draining booker"
 
 
 def test_a_lost_probe_of_an_active_booker_reports_no_time(stage: Stage) -> None:
     got: list[Any] = []
-    stage.core.probe_ended = lambda *told: got.append(told)  # type: ignore[method-assign]
+    stage.core.probe_ended = lambda *ended: got.append(ended)  # type: ignore[method-assign]
     stage.core.settings = replace(SETTINGS, may_probe=True)
     stage.core.execute_action(api.Probe("s0"))
     until(lambda: stage.bookers[0].got)
@@ -568,22 +568,22 @@
     # Bookers, ids and connections change all day: state kept for each would fill the memory.
     port = stage.ports[0].getHost().port
     for number in range(1, 6):
-        uid, name, caller = f"{number:016x}", f"s{number}", stage.connect()
+        uid, name, client = f"{number:016x}", f"s{number}", stage.connect()
 
         def tell(state: SwitchState, name: str = name, cell: int = number) -> None:
             stage.core.update_bookers(ListKind.CHANGES, [SwitchEntry(name, cell, state)])
             stage.back.update_endpoints([BookerEndpoint(name, "127.0.0.1", port, state, 0)], False)
 
         tell(SwitchState.READY)
-        stage.request(caller, uid, extras=f"dest:{number};width:1;via:-1")
+        stage.request(client, uid, extras=f"dest:{number};width:1;via:-1")
         until(partial(stage.peers, uid))
         tell(SwitchState.DRAINING)
         stage.peers(uid)[0].send("running", uid, body="x")
-        until(partial(caller.got.__getitem__, slice(None)))
+        until(partial(client.got.__getitem__, slice(None)))
         stage.peers(uid)[0].send("stop", uid, reason=16)
-        until(partial(caller.got.__getitem__, slice(1, None)))
+        until(partial(client.got.__getitem__, slice(1, None)))
         tell(SwitchState.GONE)
-        caller.transport.loseConnection()
+        client.transport.loseConnection()
     assert stage.module.answered_by_cell == dict.fromkeys(range(1, 6), 1)
     until(lambda: len(stage.back.pools) == 1 and len(stage.front.connections) == 1)
     until(lambda: not stage.module.answered_by_cell)  # it looks once an interval
