--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -201,9 +201,13 @@
 
 
 def start(path: Path, descriptors: int, **more: str) -> subprocess.Popen[bytes]:
-    told = {"GW_CONFIG": str(path), "GW_LISTEN": "127.0.0.1:0", "BITTERNBEAM_SIP": str(path.parent / "none")}
+    settings = {
+        "GW_CONFIG": str(path),
+        "GW_LISTEN": "127.0.0.1:0",
+        "BITTERNBEAM_SIP": str(path.parent / "none"),
+    }
     code = f'ulimit -n {descriptors} && exec "$0" -B -m bitternbeam'
-    environment = os.environ | told | more
+    environment = os.environ | settings | more
     return subprocess.Popen(
         ["/bin/sh", "-c", code, sys.executable], cwd=ROOT, env=environment, stderr=subprocess.PIPE
     )
--- a/tests/test_discovery_events.py
+++ b/tests/test_discovery_events.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "fault", "place"),
+    ("bad", "fault", "path"),
     [
         ({}, EventFault.MISSING, "event.rev"),
         ({"rev": None}, EventFault.TYPE, "rev"),
@@ -70,11 +70,11 @@
         (message(started_ms={}), EventFault.TYPE, "servers[1].started_ms"),
     ],
 )
-def test_an_event_error_names_the_path_of_the_fault(bad: Any, fault: EventFault, place: str) -> None:
+def test_an_event_error_names_the_path_of_the_fault(bad: Any, fault: EventFault, path: str) -> None:
     with pytest.raises(EventError) as caught:
         parse_message(bad)
-    assert (caught.value.fault, caught.value.path) == (fault, place)
-    assert caught.value.cause and str(caught.value).startswith(f"{place}: ")
+    assert (caught.value.fault, caught.value.path) == (fault, path)
+    assert caught.value.cause and str(caught.value).startswith(f"{path}: ")
 
 
 @pytest.mark.parametrize("line", [b"", b"x", b"4.0", b"true", b"[4]", b"{"])
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -239,11 +239,11 @@
 
 
 @pytest.mark.parametrize("elsewhere", [False, True], ids=["same connection", "another"])
-@pytest.mark.parametrize(("finish", "told"), AGAIN.values(), ids=AGAIN)
+@pytest.mark.parametrize(("finish", "expected"), AGAIN.values(), ids=AGAIN)
 def test_a_reused_id_gets_one_answer_and_is_not_sent_on(
     world: DownstreamWorld,
     finish: Callable[[DownstreamWorld, RawClient], None],
-    told: list[tuple[str, int | None]],
+    expected: list[tuple[str, int | None]],
     elsewhere: bool,
 ) -> None:
     # A late answer or release of the first could not be told from the second's, and the pause after an
@@ -252,12 +252,12 @@
     world.send_request(client, ID)
     finish(world, client)
     client.sync()
-    assert client.messages_about(ID) == told
+    assert client.messages_about(ID) == expected
     second = world.connect_client() if elsewhere else client
     sent = len(world.back.attempts)
     second.send(request(ID))
     second.sync()
-    assert second.messages_about(ID) == ([] if elsewhere else told) + [("stop", 41)]
+    assert second.messages_about(ID) == ([] if elsewhere else expected) + [("stop", 41)]
     world.front.inherited_call_released(ID, 16)  # a late or repeated release of the first call
     second.sync()
     assert second.messages_about(ID)[-1] == ("stop", 41) and world.module.offered_calls() == [ID]
--- a/tests/test_downstream_room.py
+++ b/tests/test_downstream_room.py
@@ -173,8 +173,8 @@
     for client, uid in zip(flood, uids, strict=True):
         client.send(request(uid))
     world.until(lambda: all(client.read() for client in flood))
-    told = [client.messages_about(uid) for client, uid in zip(flood, uids, strict=True)]
-    assert told == [[("stop", 34)]] * 60 and {client.ended for client in flood} == {"end"}
+    answers = [client.messages_about(uid) for client, uid in zip(flood, uids, strict=True)]
+    assert answers == [[("stop", 34)]] * 60 and {client.ended for client in flood} == {"end"}
     assert len(world.front.connections) == 2 and not world.front.over_limit_connections.connections
 
 
