--- a/bitternbeam/net/platform/back.py
+++ b/bitternbeam/net/platform/back.py
@@ -22,7 +22,7 @@
 
 
 class PlatformBack:
-    """The connection pools of all bookers; implements the core's `Back`."""
+    """The connection pools of all bookers; implements the core's `Backend`."""
 
     def __init__(
         self, reactor: Any, core: CallControl, deadlines: Deadlines, limits: Limits, counters: Counters
@@ -105,7 +105,7 @@
         for pool in self.pools.values():
             pool.close()
 
-    # Methods of the core's `Back`.
+    # Methods of the core's `Backend`.
 
     def set_up(self, attempt: Attempt) -> None:
         """Send a set-up; without a usable pool the attempt ends with NO_CONNECTION at once."""
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -27,7 +27,7 @@
 
 
 class PlatformFront(Factory):
-    """All clients' connections and their requests; implements the core's `Front`."""
+    """All clients' connections and their requests; implements the core's `Frontend`."""
 
     noisy = False
 
@@ -222,7 +222,7 @@
             self.idle_connections.touch(connection)
         return connection
 
-    # Methods of the core's `Front`.
+    # Methods of the core's `Frontend`.
 
     def send_answer(self, ref: int, body: object) -> None:
         """Pass on the server's acceptance with its session description."""
