--- a/bitternbeam/fleet/limits/__init__.py
+++ b/bitternbeam/fleet/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold for the whole fleet, handed out as leases by one owner each (docs/design-limits.md)."""
+"""Fleet-wide limits, each shared out as leases by one owner (docs/design-limits.md)."""
--- a/bitternbeam/fleet/limits/bound.py
+++ b/bitternbeam/fleet/limits/bound.py
@@ -1,9 +1,9 @@
-"""How stale a limit can be and how far over it the fleet can be: the formulas of docs/design-limits.md.
+"""Upper bounds on how outdated a limit can be and how far the fleet can exceed it (docs/design-limits.md).
 
-Grants never sum to more than the amount in force, in no fault, and what was sent or held under them counts
-until it is over. What is over comes from an amount that was lowered and is not yet known or released
-everywhere, from members past `most`, from single sends on a safe part under one a second while links fail,
-and, of a rate, from sends whose ways to the receivers differ by more than the margin.
+Under any fault, grants never sum to more than the amount in force, and sends and holds under them are charged
+until they end. The fleet can exceed a limit only through an amount that was lowered and is not yet known or
+released everywhere, through more than `most` members, through single sends on a safe part below one a second
+while links fail, and, for a rate, through network delays that differ by more than the margin.
 """
 
 from __future__ import annotations
@@ -25,74 +25,76 @@
 
 TOLERATED_DELAY_SPREAD_US = SEND_MARGIN_US - clock_drift_us(
     SEND_LIFETIME_US
-)  # by so much the ways of sends may differ at no cost
+)  # network delays may differ by this much without excess
 CASES = ("whole", "cut_in", "cut_out", "cut_all", "owner_paused", "engine_back")
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverTimes:
-    """What a change of owners takes: the lock-delay, and the wait of those next in line."""
+    """Times that a change of owners depends on: session TTL, lock delay and the candidates' grace time."""
 
     ttl_us: int = 10_000_000
     lock_delay_us: int = 1_000_000
     grace_us: int = 300_000
-    delay_us: int = 200_000  # of one report or record on its way, links whole
+    delay_us: int = 200_000  # delivery of one report or record on working links
 
 
 def takeover_us(times: LimitTimes, takeover: TakeoverTimes) -> int:
-    """Return within what time a silent owner is replaced and its successor has published."""
+    """Return the longest time until a silent owner is replaced and its successor has published."""
     return takeover.ttl_us + takeover.lock_delay_us + takeover.grace_us + times.period_us + takeover.delay_us
 
 
 def max_staleness_us(limit: Limit, times: LimitTimes, takeover: TakeoverTimes, case: str) -> int:
-    """Return for how long a member may go by an amount that was changed, by what is at fault.
+    """Return how long a member may keep using an amount that was changed, by fault case.
 
-    whole: a turn of the owner and the record's way. cut_in (records do not come), cut_out (reports do not
-    go), cut_all: what was granted before lapses within `lasts_us`; the member is on its safe part from then
-    until it hears again. owner_paused: as long as a change of owners takes. engine_back: that, or a session
-    that goes on.
+    whole: no fault; one period of the owner and the delivery of the record. cut_in (records are lost),
+    cut_out (reports are lost), cut_all: earlier grants expire within `grant_duration_us`; from then on the
+    member has its safe part until it receives a record again. owner_paused, engine_back (the engine went back
+    to an earlier state): at most a change of owners. Raises ValueError for any other case.
     """
-    whole = times.period_us + takeover.delay_us
+    fault_free_us = times.period_us + takeover.delay_us
     if case == "whole":
-        return whole
+        return fault_free_us
     if case in ("cut_in", "cut_out", "cut_all"):
-        return limit.grant_duration_us if case != "cut_out" else whole
+        return limit.grant_duration_us if case != "cut_out" else fault_free_us
     if case in ("owner_paused", "engine_back"):
         return takeover_us(times, takeover)
     raise ValueError(f"no such case {case!r}")
 
 
 def recovery_us(limit: Limit, times: LimitTimes, takeover: TakeoverTimes, case: str, all_known: bool) -> int:
-    """Return within what time after the fault the whole amount is handed out again.
+    """Return the longest time after the end of a fault until the full amount is granted again.
 
-    A member that was cut: its report, the owner's turn, the others' reports where they have to give back, one
-    more turn. After a change of owners: until `most` members are known (`all_known`), or the wait is over.
+    For a member that was cut off: its report, one period of the owner, the reports of members that must give
+    something back, one more period. After a change of owners: also until `most` members have reported
+    (`all_known`) or all earlier grants have expired.
     """
-    turns = 2 * times.period_us + 2 * takeover.delay_us
+    turns_us = 2 * times.period_us + 2 * takeover.delay_us
     if case in ("owner_paused", "engine_back", "cut_all"):
-        wait = (
+        wait_us = (
             0
             if all_known
             else grant_expiry_us(limit, times) + limit.max_use_us + clock_drift_us(limit.max_use_us)
         )
-        return takeover_us(times, takeover) + max(wait, times.period_us) + turns
-    return turns
+        return takeover_us(times, takeover) + max(wait_us, times.period_us) + turns_us
+    return turns_us
 
 
 def decrease_delay_us(limit: Limit, times: LimitTimes) -> int:
-    """Return for how long after a lowering extras may stand on the old amount, in any fault."""
+    """Return how long after a decrease extras of the old amount may be in use, under any fault."""
     return grant_expiry_us(limit, times) + limit.max_use_us + clock_drift_us(limit.max_use_us)
 
 
 def max_amount_in_force(limit: Limit, earlier_limits: Iterable[Limit]) -> float:
-    """Return the largest amount in use: this one's, or of terms lowered lately or not reached."""
-    return max([limit.amount, *(one.amount for one in earlier_limits)])
+    """Return the largest amount that may be in use: of this limit or of `earlier_limits`."""
+    return max([limit.amount, *(earlier.amount for earlier in earlier_limits)])
 
 
 def excess_past_member_limit(limit: Limit, members: int, amount: float) -> float:
-    """Return what members past `most` may add: a safe part each, and the extras of hidden ones.
+    """Return what members beyond `most` may add: a safe part each, and the extras of unknown members.
 
-    Danger: a new owner takes `most` known members for all. A fleet past `most` is a fault of the settings.
+    A new owner that knows `most` members assumes that there are no others, so a fleet with more of them is
+    misconfigured.
     """
     if members <= limit.most:
         return 0.0
@@ -100,9 +102,9 @@
 
 
 def excess_of_single_sends(limit: Limit, members: int, amount: float) -> float:
-    """Return by how much members with no live grant may pass their safe parts in a second.
+    """Return by how much members with no unexpired grant may exceed their safe parts in a second.
 
-    Danger: a part under one a second is used by one send now and then, and those of all may fall together.
+    A safe part below one a second is used by an occasional send, and the sends of all members may coincide.
     """
     part = amount * limit.safe / limit.most
     return members * (1 - part) if 0 < part < 1 else 0.0
@@ -119,35 +121,37 @@
 ) -> float:
     """Return how many sends beyond `amount * window` the fleet may make in any window of a rate.
 
-    Each send stands for STANDS_US by its member's clock, which may run fast: so many such spans as the
-    window and the difference of the ways to the receivers, `way_us`, fill hold the amount each; the rest of
-    them no more than the spells in it: a quarter of each member's part, rounded up, which a record may have
-    changed within. `whole`: every member has heard its grant in time.
+    Each send counts for SEND_LIFETIME_US by its member's clock, which may run fast. The window, extended by
+    `delay_spread_us` (the difference of network delays), holds the amount once per full lifetime in it. The
+    remainder holds at most its burst spans: a quarter of each member's part, rounded up, which a record may
+    change within the span. `granted`: every member has received its grant in time.
     """
-    stands_us = SEND_LIFETIME_US - clock_drift_us(SEND_LIFETIME_US)
-    spans, rest_us = divmod(window_us + delay_spread_us, stands_us)
-    spells = ceil(rest_us / (BURST_SPAN_US - clock_drift_us(BURST_SPAN_US)))
-    alone = (
+    lifetime_us = SEND_LIFETIME_US - clock_drift_us(SEND_LIFETIME_US)
+    spans, rest_us = divmod(window_us + delay_spread_us, lifetime_us)
+    bursts = ceil(rest_us / (BURST_SPAN_US - clock_drift_us(BURST_SPAN_US)))
+    single_sends = (
         0.0
         if granted and not limit.uses_safe_part_beside_grant
         else excess_of_single_sends(limit, members, amount)
     )
-    more = excess_past_member_limit(limit, members, amount) + alone
-    sends = amount * spans + min(amount, spells * (amount / 2 + members)) + more * (spans + (rest_us > 0))
+    additional = excess_past_member_limit(limit, members, amount) + single_sends
+    sends = (
+        amount * spans + min(amount, bursts * (amount / 2 + members)) + additional * (spans + (rest_us > 0))
+    )
     return sends - amount * window_us / 1e6
 
 
 def held_excess(limit: Limit, members: int, amount: float) -> float:
-    """Return how many beyond the amount may be held at once: none but by members past `most`."""
+    """Return how many beyond the amount may be held at once: only those of members beyond `most`."""
     return excess_past_member_limit(limit, members, amount)
 
 
 def current_excess(
     limit: Limit, members: int, earlier_limits: Iterable[Limit] = (), window_us: int = RATE_WINDOW_US
 ) -> float:
-    """Return the present bound: how far over the limit's amount the fleet may be now, in any fault.
+    """Return by how much the fleet may exceed the limit's amount now, under any fault.
 
-    `before`: terms that were in force within `lowered_us`, or that members not reached still go by.
+    `earlier_limits`: settings replaced within `decrease_delay_us`, or still used by members not yet reached.
     """
     amount = max_amount_in_force(limit, earlier_limits)
     if limit.kind == "held":
--- a/bitternbeam/fleet/limits/need.py
+++ b/bitternbeam/fleet/limits/need.py
@@ -1,8 +1,8 @@
-"""What a member reports of one limit each period: its need, what it holds, and which record it stands by.
+"""What a member reports of one limit each period: its demand, its use and the latest record it applied.
 
-The owner's promise counts from a need: a grant names the need it answers (boot, seq), the member counts its
-lasting from when it sent that one, the owner from when it saw it. Neither trusts a wall clock, and a record
-or report that is old, repeated or brought back by an engine answers nothing that is still alive.
+The duration of a grant starts at a need: the grant names the need it answers (boot, seq); the member measures
+from when it sent that need, the owner from when it received it. Neither relies on wall clocks, and a record
+or report that is old, repeated or restored by the engine answers no need that is still valid.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """One report. `boot` grows with each start of the member, `seq` with each report of one start."""
+    """One report. `boot` increases with each start of the member, `seq` with each report of one start."""
 
     member: str
     boot: int
     seq: int
-    demand: float  # a second (rate) or at once (held), what was refused included
+    demand: float  # per second (rate) or at once (held), including refused requests
     held: int
-    extra: float  # of its live grant as it was sent; 0: none
-    holdings_known: bool  # it knows all that it holds; not so after a start that lost its memory
-    token: Token | None = None  # of the record it stands by: it takes none before that any more
+    extra: float  # of the grant that was unexpired when the need was sent; 0: none
+    holdings_known: bool  # false after a start that lost the state of the one before
+    token: Token | None = None  # of the latest record it applied; it ignores earlier ones
     rev: int = 0
     owner_term: str = ""
 
     def to_row(self) -> list[Any]:
-        """Return it as a report carries it (the report says whose it is)."""
+        """Return the need as a row of a report; the report names the member."""
         token = "" if self.token is None else str(self.token)
         return [
             self.boot, self.seq, round(self.demand, 4), self.held, self.extra, self.holdings_known, token,
@@ -41,20 +41,20 @@
 
 
 def is_count(value: Any) -> bool:
-    """Whether it is a whole number from 0 up."""
+    """Return whether it is an integer from 0 up."""
     return type(value) is int and 0 <= value < 1 << 62
 
 
 def is_amount(value: Any) -> bool:
-    """Whether it is an amount."""
+    """Return whether it is a number from 0 to 1e12."""
     return type(value) in (int, float) and 0 <= value <= 1e12
 
 
 def parse_need(member: str, row: Any) -> Need | None:
-    """Read a need; None for anything else."""
+    """Parse a row of a report; None if it is malformed."""
     if not isinstance(row, list) or len(row) != ROW_LENGTH:
         return None
-    boot, seq, demand, held, extra, settled, token, rev, reign = row
+    boot, seq, demand, held, extra, holdings_known, token, rev, owner_term = row
     if not (
         is_count(boot)
         and is_count(seq)
@@ -65,13 +65,15 @@
     ):
         return None
     if (
-        type(settled) is not bool
+        type(holdings_known) is not bool
         or not isinstance(token, str)
-        or not isinstance(reign, str)
-        or len(reign) > 128
+        or not isinstance(owner_term, str)
+        or len(owner_term) > 128
     ):
         return None
-    read = parse_token(token) if token else None
-    if token and read is None:
+    parsed_token = parse_token(token) if token else None
+    if token and parsed_token is None:
         return None
-    return Need(member, boot, seq, float(demand), held, float(extra), settled, read, rev, reign)
+    return Need(
+        member, boot, seq, float(demand), held, float(extra), holdings_known, parsed_token, rev, owner_term
+    )
