--- a/bitternbeam/fleet/verdicts/kinds.py
+++ b/bitternbeam/fleet/verdicts/kinds.py
@@ -1,7 +1,7 @@
-"""The kinds of verdicts: which way each fails when members can't hear, the reason, and its longest time.
+"""The kinds of verdicts: each one's failure mode, the reason for it, and its longest duration.
 
-No verdict outlives its expiry, heard or not. What differs is how a member acts while it can't hear whether
-there is a verdict: `open` acts as if there were none, `shut` as if there were one.
+Every verdict ends at its expiry, with or without a connection. The failure mode says how a member acts while
+it receives no records: `open` (fail open) as if there were no verdict, `shut` (fail closed) as if there were.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictKind:
-    """One kind."""
+    """A kind of verdicts."""
 
     name: str
     failure_mode: str  # open or shut
     reason: str
-    max_duration_ms: int  # no verdict lasts longer
+    max_duration_ms: int  # verdicts are limited to it
 
 
 KINDS = {
-    one.name: one
-    for one in (
+    kind.name: kind
+    for kind in (
         VerdictKind(
             "booker", "open",
-            "a member's own outcomes still bar a bad booker; shut, a cut would stop all calls",
+            "members still avoid bad bookers by their own results; failing shut would stop all calls",
             10 * 60_000,
         ),
         VerdictKind(
             "tenant", "open",
-            "its calls stay within the safe parts of its limits; shut, a cut would turn away all who pay",
+            "its calls stay within the safe parts of its limits; failing shut would refuse every tenant",
             24 * HOUR_MS,
         ),
         VerdictKind(
             "caller", "open",
-            "one caller does little within the safe parts; shut, a cut would turn away every caller",
+            "the safe parts limit what one caller can do; failing shut would refuse every caller",
             24 * HOUR_MS,
         ),
         VerdictKind(
             "version", "shut",
-            "the version that runs is good already: waiting harms nobody, a bad one harms every call",
+            "the running version is good, so waiting does no harm, while a bad version harms every call",
             7 * 24 * HOUR_MS,
         ),
     )
--- a/bitternbeam/fleet/verdicts/settings.py
+++ b/bitternbeam/fleet/verdicts/settings.py
@@ -1,4 +1,4 @@
-"""When members judge, and for how long a verdict lasts: the terms, and what in them contradicts."""
+"""The settings of the detectors and the durations of verdicts, and their validation."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictSettings:
-    """Terms of all judges; times in milliseconds."""
+    """Settings of all detectors; times in milliseconds."""
 
     kinds: tuple[str, ...] = tuple(KINDS)
-    judge_ms: int = 3_000  # a member tells of a booker's attempts of so long
-    least: int = 3  # attempts, or a member has no opinion
-    fail_share: float = 0.5  # of them not answered in time
+    judge_ms: int = 3_000  # span of the attempts at a booker that a member reports
+    least: int = 3  # attempts that a member needs to have an opinion
+    fail_share: float = 0.5  # of the attempts; not answered in time
     quorum: float = 0.5  # share of the members with an opinion
     members_least: int = 2
     eject_ms: int = 30_000
-    eject_share: float = 0.5  # of the bookers known, ejected at once
-    over_factor: float = 3.0  # demand to the limit
+    eject_share: float = 0.5  # of the known bookers; the most ejected at once
+    over_factor: float = 3.0  # demand divided by the limit
     over_ms: int = 10_000
     bar_ms: int = 60_000
     bad_ms: int = 86_400_000
@@ -27,48 +27,53 @@
 
     @property
     def booker_periods(self) -> int:
-        """Return how many periods a member's opinion of a booker covers."""
+        """Return how many periods a member's opinion of a booker covers, at least 1."""
         return max(1, -(-self.judge_ms // self.period_ms))
 
     def first_duration_ms(self, kind: str) -> int:
-        """Return for how long a first verdict of a kind lasts."""
+        """Return the duration of a first verdict of a kind."""
         return {"booker": self.eject_ms, "version": self.bad_ms}.get(kind, self.bar_ms)
 
 
 DURATION_KEYS = {"eject_ms": ("booker",), "bar_ms": ("tenant", "caller"), "bad_ms": ("version",)}
 
 
-def find_faults(terms: VerdictSettings) -> list[tuple[str, str]]:
-    """Return what cannot work, as (key, message)."""
+def find_faults(settings: VerdictSettings) -> list[tuple[str, str]]:
+    """Return the faults as (key, message); empty if the settings are valid."""
     found = []
-    if not terms.kinds:
-        found.append(("kinds", f"names no kind; known are {', '.join(KINDS)}"))
-    for name in terms.kinds:
+    if not settings.kinds:
+        found.append(("kinds", f"names no kind; known kinds are {', '.join(KINDS)}"))
+    for name in settings.kinds:
         if name not in KINDS:
-            found.append(("kinds", f"{name!r} is not known; known are {', '.join(KINDS)}"))
-    if len(set(terms.kinds)) != len(terms.kinds):
+            found.append(("kinds", f"{name!r} is unknown; known kinds are {', '.join(KINDS)}"))
+    if len(set(settings.kinds)) != len(settings.kinds):
         found.append(("kinds", "names a kind twice"))
     for key in ("judge_ms", "over_ms"):
-        if getattr(terms, key) < terms.period_ms:
+        if getattr(settings, key) < settings.period_ms:
             found.append(
-                (key, f"must be at least a period ({terms.period_ms} ms): reports come once a period")
+                (key, f"must be at least a period ({settings.period_ms} ms): reports come once a period")
             )
     for key, kinds in DURATION_KEYS.items():
         most_ms = min(KINDS[kind].max_duration_ms for kind in kinds)
-        if getattr(terms, key) > most_ms:
+        if getattr(settings, key) > most_ms:
             found.append((key, f"no verdict on a {' or '.join(kinds)} lasts longer than {most_ms} ms"))
-        if getattr(terms, key) <= 2 * terms.period_ms:
-            found.append((key, "must be above two periods, or it is over before all have heard"))
-    if terms.eject_ms <= terms.judge_ms:
+        if getattr(settings, key) <= 2 * settings.period_ms:
+            found.append(
+                (key, "must be above two periods, or verdicts expire before all members receive them")
+            )
+    if settings.eject_ms <= settings.judge_ms:
         found.append(
-            ("eject_ms", f"must be above judge_ms ({terms.judge_ms}): old attempts would eject anew")
+            (
+                "eject_ms",
+                f"must be above judge_ms ({settings.judge_ms}): old attempts would lead to another ejection",
+            )
         )
-    if terms.over_factor < 1:
-        found.append(("over_factor", "must be at least 1: below its limit nobody is barred"))
+    if settings.over_factor < 1:
+        found.append(("over_factor", "must be at least 1: demand within the limit is not barred"))
     for key in ("fail_share", "quorum", "eject_share"):
-        if not 0 < getattr(terms, key) <= 1:
+        if not 0 < getattr(settings, key) <= 1:
             found.append((key, "must be above 0 and at most 1"))
     for key in ("least", "members_least"):
-        if getattr(terms, key) < 1:
+        if getattr(settings, key) < 1:
             found.append((key, "must be at least 1"))
     return found
--- a/bitternbeam/fleet/verdicts/verdict.py
+++ b/bitternbeam/fleet/verdicts/verdict.py
@@ -1,8 +1,8 @@
-"""One verdict: what it is on, why, by whom, and until when; and the one order of conflicting ones.
+"""One verdict: its subject, cause, issuer and expiry, and the total order of conflicting verdicts.
 
-`at_ms` is the Unix time at which it was pronounced; it bars what comes from ahead and what is over before it
-is heard. From then on each hearer counts by its own monotonic clock. A verdict may also lift: it then bars
-nothing, and stands above those before it.
+`issued_ms` is the Unix time at which it was issued; with it, receivers reject verdicts from the future and
+those that have already expired. After that, each receiver measures by its own monotonic clock. A verdict may
+also be a lift: it bars nothing and overrides those before it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A verdict of a kind on a subject; `turn` counts those that one owner pronounced under one token."""
+    """A verdict of a kind on a subject; `sequence` counts those that one owner issued under one token."""
 
     kind: str
     subject: str
@@ -33,7 +33,7 @@
 
     @property
     def precedence(self) -> tuple[int, str, int, int, int, bool, str]:
-        """Return its place among those on the same subject: the highest holds, of equals the longer."""
+        """Return the sort key among verdicts on one subject: the highest applies, of equals the longer."""
         token = self.token
         return (
             token.number, token.holder, self.sequence,
@@ -42,47 +42,51 @@
 
     @property
     def expires_ms(self) -> int:
-        """Return the Unix time of its expiry."""
+        """Return the Unix time of the expiry."""
         return self.issued_ms + self.duration_ms
 
     def to_row(self) -> list[Any]:
-        """Return it as a record carries it (the record says the kind)."""
+        """Return the verdict as a row of a record; the record names the kind."""
         return [
             self.subject, self.cause, str(self.token),
             self.issued_ms, self.duration_ms, self.sequence, self.is_lift
         ]  # fmt: skip
 
 
-def _count(value: Any) -> bool:
+def _is_count(value: Any) -> bool:
     return type(value) is int and 0 <= value < 1 << 62
 
 
-def _text(value: Any) -> bool:
+def _is_text(value: Any) -> bool:
     return isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH
 
 
 def parse_verdict(kind: str, row: Any) -> Verdict | None:
-    """Read a verdict; None for anything else, or one that lasts longer than its kind may."""
-    known = KINDS.get(kind)
-    if known is None or not isinstance(row, list) or len(row) != 7:
+    """Parse a row; None if it is malformed or exceeds its kind's longest duration."""
+    verdict_kind = KINDS.get(kind)
+    if verdict_kind is None or not isinstance(row, list) or len(row) != 7:
         return None
-    subject, cause, told, at_ms, lasts_ms, turn, lifts = row
-    if not (_text(subject) and _text(cause) and isinstance(told, str) and type(lifts) is bool):
+    subject, cause, token_text, issued_ms, duration_ms, sequence, is_lift = row
+    if not (_is_text(subject) and _is_text(cause) and isinstance(token_text, str) and type(is_lift) is bool):
         return None
-    token = parse_token(told)
-    if token is None or not (_count(at_ms) and _count(lasts_ms) and _count(turn)):
+    token = parse_token(token_text)
+    if token is None or not (_is_count(issued_ms) and _is_count(duration_ms) and _is_count(sequence)):
         return None
-    if not 0 < lasts_ms <= known.max_duration_ms:
+    if not 0 < duration_ms <= verdict_kind.max_duration_ms:
         return None
-    return Verdict(kind, subject, cause, token, at_ms, lasts_ms, turn, lifts)
+    return Verdict(kind, subject, cause, token, issued_ms, duration_ms, sequence, is_lift)
 
 
 def parse_verdicts(value: Any) -> list[Verdict] | None:
-    """Read a record of one kind's verdicts; None if any of it is of another form."""
+    """Parse a record's value; None if any of it is malformed."""
     if not isinstance(value, dict) or set(value) != RECORD_KEYS or not isinstance(value["rows"], list):
         return None
     kind, rows = value["kind"], value["rows"]
     if not isinstance(kind, str) or len(rows) > MAX_VERDICTS:
         return None
-    read = [parse_verdict(kind, row) for row in rows]
-    return [one for one in read if one is not None] if all(one is not None for one in read) else None
+    parsed = [parse_verdict(kind, row) for row in rows]
+    return (
+        [verdict for verdict in parsed if verdict is not None]
+        if all(verdict is not None for verdict in parsed)
+        else None
+    )
