--- a/tests/limits_member.py
+++ b/tests/limits_member.py
@@ -1,4 +1,4 @@
-"""One process of the fleet in tests/limits_model.py, with a clock of its own rate."""
+"""One member of the fleet in tests/limits_model.py, with its own clock rate."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Member:
-    """One process, from one start to its end."""
+    """One process of a member, from its start to its end."""
 
     def __init__(self, world: World, number: int, boot: int, held: int | None) -> None:
         self.world, self.number, self.boot = world, number, boot
@@ -30,7 +30,7 @@
         self.reader = LimitReader(self.holding, limit.grant_duration_us)
         self.keeper = GrantPublisher(limit, world.times, self.name, boot)
         self.paused = False
-        self.mail: list[str] = []  # records on their way to it
+        self.mail: list[str] = []  # delayed records, not yet delivered
 
     @property
     def now(self) -> int:
--- a/tests/limits_model.py
+++ b/tests/limits_model.py
@@ -1,8 +1,7 @@
-"""A fleet with one limit: real leases, ledgers and holdings, the stand-in engine, and a receiver that counts.
+"""A model of a fleet with one limit: real leases, ledgers and local limits, a stand-in engine, counted sends.
 
-Each member has a clock of its own rate, a link to the engine that may fail in each direction, reports and
-records that may come late, and may be paused, killed and started again. The engine may forget all or go
-back.
+Members have unlike clock rates. Links to the engine may fail in each direction, reports and records may be
+late, members may pause, crash and restart, and the engine may lose its data or go back to an earlier state.
 """
 
 from __future__ import annotations
@@ -43,16 +42,18 @@
     def __post_init__(self) -> None:
         names = [f"m{number}" for number in range(self.count)]
         self.configured = dict.fromkeys(names, self.limit)
-        self.before: deque[tuple[int, Limit]] = deque()  # terms no longer configured: (until, terms)
+        self.before: deque[tuple[int, Limit]] = deque()  # replaced limits: (in use until, limit)
         self.cut_out: set[str] = set()
         self.cut_in: set[str] = set()
         self.boots = dict.fromkeys(names, 1)
         self.sends: deque[int] = deque()
-        self.singles: deque[int] = deque()  # those on a safe part under one
+        self.singles: deque[int] = deque()  # those on a safe part below one
         self.served: dict[str, int] = dict.fromkeys(names, 0)
         self.things: dict[str, list[int]] = {name: [] for name in names}  # held: when each was taken
-        self.lost: dict[str, list[int]] = {name: [] for name in names}  # held, but forgotten by its member
-        self.late: list[tuple[str, bytes, dict[str, str]]] = []  # writes on their way
+        self.lost: dict[str, list[int]] = {
+            name: [] for name in names
+        }  # held, but unknown to the restarted member
+        self.late: list[tuple[str, bytes, dict[str, str]]] = []  # delayed writes
         self.members: dict[str, Member | None] = {}
         self.highest: deque[tuple[int, float]] = deque()  # (time, amount in force), for the windows
         for number, name in enumerate(names):
@@ -65,7 +66,7 @@
         return [one for one in self.members.values() if one is not None and not one.paused]
 
     def advance(self, step_us: int) -> None:
-        """Let time pass in ticks; holdings end at their longest."""
+        """Let time pass in ticks; what is held ends at the longest hold time."""
         end_us = self.now_us + step_us
         while self.now_us < end_us:
             self.now_us = min(end_us, self.now_us + self.lease.tick_us)
@@ -90,7 +91,7 @@
         return one.name not in self.cut_out | self.cut_in
 
     def lock(self, one: Member, wanted: bool = True) -> None:
-        """Let a member do all that it would for its lease; what a cut link keeps from it has failed."""
+        """Run a member's lease steps; requests over a cut link fail."""
         session, claim, now = one.session, one.claim, self.now_us
         if not self.whole(one):
             if claim.step(one.now, session, wanted=wanted) is not None:
@@ -156,7 +157,7 @@
                 one.renewed_us = self.now_us  # Consul's TTLs begin anew under a new leader
 
     def land(self, index: int) -> None:
-        """Let one write that was on its way arrive."""
+        """Deliver one delayed write."""
         if self.late:
             key, value, query = self.late.pop(index % len(self.late))
             self.engine.put(key, value, query, self.now_us)
@@ -169,7 +170,7 @@
             self.put(REPORT + one.name, json.dumps(row), {}, late)
 
     def look(self, one: Member, late: bool = False) -> None:
-        """Let a member read the record, now or only when its mail is opened."""
+        """Let a member read the record, now or when its delayed records are delivered."""
         _index, text = self.read(RECORD)
         if self.whole(one) and text is not None:
             if late:
@@ -182,7 +183,7 @@
             one.reader.read_record(one.mail.pop(index % len(one.mail)), one.now, self.now_us // 1000)
 
     def turn(self, one: Member, late: bool = False) -> None:
-        """Let a member do the owner's turn, if it believes that it is one."""
+        """Let a member publish grants, if it believes that it is the owner."""
         keeper = one.keeper
         if not keeper.update_ownership(one.claim.may_act(one.now, one.session), one.now):
             return
@@ -227,7 +228,7 @@
         return True
 
     def busiest(self, window_us: int, way_us: int = 0) -> int:
-        """Return the most that came to the receivers in any window, on ways that differ by up to so much."""
+        """Return the most arrivals in any window, with network delays that differ by up to `way_us`."""
         came, first, most = sorted(at + self.random.randint(0, way_us) for at in self.sends), 0, 0
         for last, at in enumerate(came):
             while came[first] <= at - window_us:
@@ -259,7 +260,7 @@
             self.members[name] = Member(self, int(name[1:]), self.boots[name], held)
 
     def change(self, names: list[str], amount: float) -> None:
-        """Tell some members a new amount."""
+        """Give some members a new amount."""
         old = set(self.configured.values())
         for name in names:
             limit = self.configured[name] = replace(self.limit, amount=amount)
@@ -271,7 +272,7 @@
             self.before.append((self.now_us + decrease_delay_us(gone, self.times), gone))
 
     def period(self, parts: int = 10) -> None:
-        """Let all that run do all they would for a period, in steps."""
+        """Run all live members for a period, in steps."""
         step_us = self.times.period_us // parts
         for part in range(parts):
             self.advance(step_us)
@@ -291,14 +292,14 @@
     # What is asserted.
 
     def amount(self) -> float:
-        """Return the largest amount that anyone may go by now."""
+        """Return the largest amount that any member may use now."""
         while self.before and self.before[0][0] < self.now_us:
             self.before.popleft()
         told = [one.amount for one in self.configured.values()] + [one.amount for _us, one in self.before]
         return max(told)
 
     def usable(self) -> float:
-        """Return what all may use and hold now, at the worst."""
+        """Return the most that all members may use and hold now."""
         total = 0.0
         for name, one in self.members.items():
             held = float(len(self.things[name]))
@@ -327,6 +328,6 @@
             most = max(told for at, told in self.highest if at >= self.now_us - window_us)
             bound = most * window_us / SECOND + rate_excess(limit, self.count, window_us, most)
             assert sent <= bound + 1e-6, (window_us, sent, bound)
-            # With links whole none is sent alone: then no window has more than the amount.
+            # On working links there are no single sends, so no window exceeds the amount.
             bound = most * window_us / SECOND + rate_excess(limit, self.count, window_us, most, granted=True)
             assert sent - alone <= bound + 1e-6, (window_us, sent, alone, bound)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a small fleet of real members under faults: every window is counted at the bookers."""
+"""Limits of a small fleet of real members under faults: sends are counted in windows at the bookers."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_verdicts.py
+++ b/tests/test_fleet_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts of a small fleet of real members under faults: judged at the bookers and the callers."""
+"""Verdicts of a small fleet of real members under faults, checked at the bookers and the callers."""
 
 from __future__ import annotations
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that hold for the whole fleet: the model after every step, and the aims in simulated time."""
+"""Fleet-wide limits: a stateful model checked after every step, and recovery times in simulated time."""
 
 from __future__ import annotations
 
@@ -283,7 +283,7 @@
 
 
 class HeldFleet(Fleet):
-    """The same for what is held."""
+    """The same for a held limit."""
 
     limit = HELD
 
--- a/tests/test_limits_rules.py
+++ b/tests/test_limits_rules.py
@@ -1,4 +1,4 @@
-"""The rules that a limit's parts go by, one by one: what is taken, what is turned down, how it is shared."""
+"""Unit tests of a fleet limit: which records and needs are applied or rejected, and how it is shared."""
 
 from __future__ import annotations
 
--- a/tests/test_limits_window.py
+++ b/tests/test_limits_window.py
@@ -1,4 +1,4 @@
-"""A rate at one member, send by send, and its parts in whole sends."""
+"""A rate at one member: its sliding window of sends, and the rounding of parts to whole sends."""
 
 from __future__ import annotations
 
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -1,4 +1,4 @@
-"""Who is judged, by whose word and for how long; and what members do with it."""
+"""Detectors: who gets a verdict, by which reports and for how long; and how members apply it."""
 
 from __future__ import annotations
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts: one order whatever the links do, none past its expiry, each failing as its kind says."""
+"""Verdicts: a total order independent of delivery, expiry, and each kind's failure mode."""
 
 from __future__ import annotations
 
