--- a/bitternbeam/net/platform/client_connection.py
+++ b/bitternbeam/net/platform/client_connection.py
@@ -90,7 +90,7 @@
     @property
     def poll_due(self) -> bool:
         """Tell whether its client may have left meanwhile, so that a look is due before an attempt."""
-        return self.deadlines.now_us() - self._polled_us >= self.limits.client_look_us
+        return self.deadlines.now_us() - self._polled_us >= self.limits.client_recheck_us
 
     # The transport's events.
 
@@ -163,7 +163,7 @@
         elif uid in self.queued_requests:
             self.refuse_new_requests(CloseCause.REPEATED_ID)  # one refusal serves for both
         else:
-            self.queued_requests[uid] = QueuedRequest(uid, message, self.deadlines.arrival_us())
+            self.queued_requests[uid] = QueuedRequest(uid, message, self.deadlines.earliest_arrival_us())
 
     def _queue_stop(self, uid: str) -> None:
         if self.queued_requests.pop(uid, None):
--- a/bitternbeam/net/platform/front.py
+++ b/bitternbeam/net/platform/front.py
@@ -27,7 +27,7 @@
 
 
 class PlatformFront(Factory):
-    """All clients' connections and their requests. It is the core's Front."""
+    """All clients' connections and their requests. It implements the core's Frontend."""
 
     noisy = False
 
@@ -67,7 +67,7 @@
         """Withdraw a lost connection's requests; a call that stands belongs to no connection."""
         self.over_limit_connections.remove(connection)
         self.idle_connections.remove(connection)
-        if not self.connections.take(connection.handle):
+        if not self.connections.pop(connection.handle):
             return
         self._withdraw_open(connection, "client.left_by_closing")
 
@@ -221,9 +221,9 @@
             self.idle_connections.touch(connection)
         return connection
 
-    # The core's Front.
+    # The core's Frontend.
 
-    def answered(self, ref: int, body: object) -> None:
+    def send_answer(self, ref: int, body: object) -> None:
         """Pass on an answer with the server's description."""
         request = self.requests.get(ref)
         if request is None or request.finished:
@@ -233,11 +233,11 @@
             connection.send({"kind": "running", "uid": request.uid, "meta": {}, "body": body})
             self.releases.send_waiting(connection)
 
-    def refused(self, ref: int, stay_away_us: int) -> None:
+    def send_refusal(self, ref: int, stay_away_us: int) -> None:
         """Turn a client away."""
         self._send_final_stop(ref, CAUSE_REFUSED, stay_away_us)
 
-    def failed(self, ref: int, late: bool) -> None:
+    def send_failure(self, ref: int, late: bool) -> None:
         """Tell a client of a failure."""
         self._send_final_stop(ref, CAUSE_FAILURE, 0)
 
@@ -250,10 +250,10 @@
         if connection := self._remove_open_request(request):
             connection.send_stop(request.uid, cause, stay_away_us)
 
-    def progressed(self, ref: int) -> None:
+    def send_progress(self, ref: int) -> None:
         """Say nothing: progress means nothing on this wire."""
 
-    def released(self, ref: int, outcome: Outcome) -> None:
+    def send_release(self, ref: int, outcome: Outcome) -> None:
         """Tell a client that its call is over, on its connection, another, or the next that is served."""
         request = self.requests.get(ref)
         if request is None or request.finished:
@@ -263,7 +263,7 @@
         cause = CAUSE_NORMAL if outcome is Outcome.SERVED else CAUSE_FAILURE
         self.releases.send(self._remove_call(request), request.uid, cause)
 
-    def still_waiting(self, ref: int) -> bool:
+    def is_client_waiting(self, ref: int) -> bool:
         """Read what the client has sent up to now, and tell whether it still waits for its answer."""
         request = self.requests.get(ref)
         if request is None:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -41,7 +41,7 @@
     def __init__(self, folder: Path, board: Board) -> None:
         self.folder = folder
         self.socket = folder / "ops.sock"
-        raw = configuration(event(3, "up", full=True)) | {"board": board.where}
+        raw = configuration(event(3, "up", full=True)) | {"board": board.address}
         (folder / "config.json").write_text(json.dumps(raw))
         self.daemon: subprocess.Popen[bytes] | None = None
 
@@ -255,7 +255,7 @@
     root = logging.getLogger()
     before, level = root.handlers[:], root.level
     try:
-        logs.set_up(form, "debug", sink)
+        logs.configure_logging(form, "debug", sink)
         logging.getLogger("x").info(
             "sent", extra={"call": "c1", "booker": "s0", "version": "1.2", "other": 3}
         )
--- a/tests/test_core_stateful.py
+++ b/tests/test_core_stateful.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from bitternbeam.core.ports import Decisions
+from bitternbeam.core.ports import DecisionModule
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
 from bitternbeam.limits import Limits
@@ -61,7 +61,7 @@
         self.world = CoreWorld(self.module(), FEW)
         self.servers = self.world.servers
 
-    def module(self) -> Decisions:
+    def module(self) -> DecisionModule:
         return Controller(SETTINGS, 3)
 
     @rule(name=PICK, left_us=st.sampled_from((1, 30 * MS, 400 * MS, 1 * SECOND, 3 * SECOND)), cell=PICK)
@@ -87,7 +87,7 @@
     @rule(pick=PICK)
     def release(self, pick: int) -> None:
         attempt = self.servers.standing[pick % len(self.servers.standing)]
-        self.world.core.release(attempt.call)
+        self.world.core.release(attempt.call_handle)
 
     @precondition(lambda self: self.servers.waiting)
     @rule(pick=PICK, comes_up=st.booleans())
@@ -157,14 +157,14 @@
         super().nothing_is_kept()
         module = self.world.core.module
         assert isinstance(module, Controller)
-        assert not module.calls and not module.waiting
-        assert not any(switch.out for switch in module.switches.values())
+        assert not module.calls and not module.calls_by_timer
+        assert not any(switch.unanswered for switch in module.switches.values())
 
 
 class RogueRequests(Requests):
     """A module that can't be relied on: the rules are the core's."""
 
-    def module(self) -> Decisions:
+    def module(self) -> DecisionModule:
         return Rogue(5)
 
 
