--- a/tests/limits_model.py
+++ b/tests/limits_model.py
@@ -50,9 +50,7 @@
         self.singles: deque[int] = deque()  # those on a safe part below one
         self.served: dict[str, int] = dict.fromkeys(names, 0)
         self.things: dict[str, list[int]] = {name: [] for name in names}  # held: when each was taken
-        self.lost: dict[str, list[int]] = {
-            name: [] for name in names
-        }  # held, but unknown to the restarted member
+        self.lost: dict[str, list[int]] = {name: [] for name in names}  # held, but unknown to the member
         self.late: list[tuple[str, bytes, dict[str, str]]] = []  # delayed writes
         self.members: dict[str, Member | None] = {}
         self.highest: deque[tuple[int, float]] = deque()  # (time, amount in force), for the windows
