--- a/bitternbeam/fleet/returns/__init__.py
+++ b/bitternbeam/fleet/returns/__init__.py
@@ -1,1 +1,1 @@
-"""Return storms: clients that all come back at once are paced back, each at a slot of its own."""
+"""Reconnect admission ([fleet.returns]): clients that reconnect all at once are spread over retry slots."""
--- a/bitternbeam/fleet/returns/outcome.py
+++ b/bitternbeam/fleet/returns/outcome.py
@@ -1,4 +1,4 @@
-"""What a client that comes back is answered, and the budget that it is let in from."""
+"""The outcomes of reconnect admission, and the budget that admitted clients draw on."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class ReconnectBudget(Protocol):
-    """A member's part of the fleet's budget for returns."""
+    """A member's part of the fleet's reconnect budget."""
 
     def try_take(self, now_us: int) -> bool:
-        """Take one return from it, if it holds one."""
+        """Take one token if there is one."""
         ...
 
     def member_rate(self, now_us: int) -> float:
-        """Return this member's part, a second."""
+        """Return this member's rate, in reconnects per second."""
         ...
 
     def fleet_rate(self) -> float:
-        """Return the whole budget, a second."""
+        """Return the rate of the whole fleet, in reconnects per second."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """Let it in."""
+    """The client is admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """Turn it away, to come again after `us` microseconds."""
+    """The client is refused and told to retry after `delay_us` microseconds."""
 
     delay_us: int
 
--- a/bitternbeam/fleet/returns/settings.py
+++ b/bitternbeam/fleet/returns/settings.py
@@ -1,4 +1,4 @@
-"""The settings of [fleet.returns], and what in them cannot work."""
+"""The settings of [fleet.returns] and their validation."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconnectSettings:
-    """What paces returns; times are milliseconds, budgets returns a second of the whole fleet."""
+    """Reconnect admission; times are milliseconds, budgets are reconnects per second of the whole fleet."""
 
-    limit: str = ""  # name of the limit of kind "rate" that is the budget
-    budget_per_s: float = 0.0  # its amount
-    identity: str = "caller"  # what tells clients apart: the caller's address, or the number called
-    classes: tuple[str, ...] = ()  # whose calls are returns, most urgent first; empty: all, of one urgency
-    period_ms: int = 1_000  # between two reports
-    fresh_ms: int = 3_000  # a record is believed to lead for so long
-    horizon_ms: int = 10_000  # a slot is told no further ahead, nor further than callers heed
-    cap_ms: int = 30_000  # the longest wait that callers heed; 0: they take no advice
-    skew_ms: int = 250  # clocks of two members differ by less
-    grace_ms: int = 2_000  # after its slot a client still comes at its slot
-    first_ms: int = 1_500  # longest wait told while no slot is known
-    window_ms: int = 3_600_000  # the longest window of slots
-    fill: float = 0.88  # part of the budget that slots are spread at
-    strikes: int = 3  # a client that came early so often heeds no waits
-    purse_ms: int = 500  # so much of a member's part is kept ready for those at their slots
+    limit: str = ""  # name of the limit of kind "rate" that serves as the budget
+    budget_per_s: float = 0.0  # amount of that limit
+    identity: str = "caller"  # how clients are identified: by caller address or by called number
+    classes: tuple[str, ...] = ()  # call classes under admission, highest priority first; empty: all, alike
+    period_ms: int = 1_000  # between reports
+    fresh_ms: int = 3_000  # a record counts as current for so long
+    horizon_ms: int = 10_000  # longest wait that is told, together with cap_ms
+    cap_ms: int = 30_000  # longest wait that clients honour; 0: they honour none
+    skew_ms: int = 250  # bound of the clock skew between members
+    grace_ms: int = 2_000  # a client this late still counts as at its slot
+    first_ms: int = 1_500  # longest wait while no slot is known
+    window_ms: int = 3_600_000  # longest time that slots are spread over
+    fill: float = 0.88  # share of the budget that is planned as slots
+    strikes: int = 3  # early arrivals after which a client counts as non-compliant
+    purse_ms: int = 500  # size of a member's token bucket, in time at its rate
 
     @property
     def max_wait_ms(self) -> int:
-        """Return the longest wait that is told."""
+        """Return the longest wait that is told, in ms."""
         return min(self.horizon_ms, self.cap_ms)
 
     def rank(self, call_class: str) -> int | None:
-        """Return the urgency of a class, 0 the most urgent; None: its calls are no returns."""
+        """Return the priority of a class, 0 the highest; None if it is not under reconnect admission."""
         if not self.classes:
             return 0
         return self.classes.index(call_class) if call_class in self.classes else None
 
 
 def faults(settings: ReconnectSettings) -> list[tuple[str, str]]:
-    """Return what cannot work, as (key, message)."""
+    """Return the invalid settings as (key, message)."""
     found = []
     if not settings.limit:
         found.append(("limit", "names no limit: returns need a budget"))
--- a/bitternbeam/fleet/returns/sketches.py
+++ b/bitternbeam/fleet/returns/sketches.py
@@ -1,13 +1,13 @@
-"""Bounded memories of clients: how many there are, and which ones come early again and again.
+"""Sketches of bounded size: the number of distinct clients, their retry deadlines and their violations.
 
-- `Distinct`: HyperLogLog (Flajolet, Fusy, Gandouet, Meunier, 2007) with 1,024 registers, standard error
+- `HyperLogLog`: cardinality (Flajolet, Fusy, Gandouet, Meunier, 2007) with 1,024 registers, standard error
   3.25 %, linear counting below 2.5 times that (Whang, Vander-Zanden, Taylor, 1990). Members' sketches merge
   by the maximum, so that a client that went to several members counts once.
-- `Dues`: until when each client was told to stay away, in cells of 500 ms; two that share all their cells
-  pass for the later.
-- `Strikes`: count-min with conservative update (Cormode and Muthukrishnan, 2005; Estan and Varghese, 2002),
-  four rows of 16,384 bytes. When as many strikes were counted as a row has cells, all are halved, so that
-  collisions never drown it.
+- `RetryDeadlines`: the time before which each client must not retry, in cells of 500 ms; clients that share
+  all their cells get the later time.
+- `ViolationCounter`: count-min with conservative update (Cormode and Muthukrishnan, 2005; Estan and Varghese,
+  2002), four rows of 16,384 bytes. After as many violations as a row has cells all counts are halved, which
+  bounds the error by collisions.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 class HyperLogLog:
-    """How many different clients were seen."""
+    """Estimates the number of distinct clients."""
 
     def __init__(self, registers: bytes | bytearray = bytes(REGISTERS)) -> None:
         self.registers = bytearray(registers)
 
     def add(self, mix: int) -> None:
-        """Take a client's 64-bit hash."""
+        """Add a client by its 64-bit hash."""
         at = mix & (REGISTERS - 1)
         rank = MAX_REGISTER_VALUE - (mix >> 10).bit_length()
         if self.registers[at] < rank:  # noqa: PLR1730 - asked at each call
@@ -52,14 +52,14 @@
         return raw
 
     def encode(self) -> str:
-        """Return it as a report carries it, some 500 characters; '' for one that has seen nobody."""
+        """Return the encoded sketch, some 500 characters; '' if it is empty."""
         if not any(self.registers):
             return ""
         return base64.b85encode(zlib.compress(bytes(self.registers), 9)).decode()
 
 
 def merge_sketches(sketches: Iterable[HyperLogLog]) -> HyperLogLog:
-    """Return one sketch of all the clients that any has seen."""
+    """Return the sketch of the union."""
     registers = [one.registers for one in sketches if any(one.registers)]
     if len(registers) < 2:
         return HyperLogLog(*registers)
@@ -67,7 +67,7 @@
 
 
 def parse_sketch(text: object) -> HyperLogLog | None:
-    """Read a sketch; None where it is not one."""
+    """Parse an encoded sketch; None if it is malformed."""
     if not isinstance(text, str) or len(text) > MAX_ENCODED_CHARS:
         return None
     if not text:
@@ -89,13 +89,13 @@
 
 
 class RetryDeadlines:
-    """Until when each client was told to stay away; times in ms from the epoch's beginning."""
+    """The time before which each client must not retry, in ms since the start of the window."""
 
     def __init__(self) -> None:
         self.cells = array("H", bytes(2 * ROWS * CELLS))
 
     def extend(self, mix: int, due_ms: int) -> None:
-        """Note what a client was told."""
+        """Set a client's deadline unless it has a later one."""
         due = max(0, min(due_ms // CELL_MS, 0xFFFF))
         cells = self.cells
         for at in cell_indexes(mix):
@@ -103,13 +103,13 @@
                 cells[at] = due
 
     def deadline_ms(self, mix: int) -> int:
-        """Return until when it was to stay away, or somewhat earlier; 0 where it was told nothing."""
+        """Return the deadline, rounded down; 0 if the client has none."""
         cells, (one, two, three, four) = self.cells, cell_indexes(mix)
         return min(cells[one], cells[two], cells[three], cells[four]) * CELL_MS
 
 
 class ViolationCounter:
-    """How often each client came early; never told as less than it was since the last halving."""
+    """Counts early arrivals by client; never too low, apart from halving."""
 
     def __init__(self) -> None:
         self.cells = bytearray(ROWS * CELLS)
--- a/bitternbeam/fleet/returns/slots.py
+++ b/bitternbeam/fleet/returns/slots.py
@@ -1,14 +1,15 @@
-"""Slots: when each client comes back, computed alike at every member from the epoch's record and the client.
+"""Retry slots: every member computes a client's slot alike, from the window's record and a hash.
 
-A plan says at what time each quantile of the clients comes, one curve for each urgency: knots (quantile,
-Unix ms), linear between them. A client's quantile is its hash (BLAKE2b of epoch and client), so slots are
-spread as evenly as hashes are, which is the jitter, and nobody needs a memory of who was told what.
+A plan maps quantiles of the clients to times, with one curve per class: knots (quantile, Unix ms), linearly
+interpolated. A client's quantile is its hash (BLAKE2b of window id and client), so slots are spread evenly
+and jittered, and no member has to remember which slots were announced.
 
-A plan is changed only past `frozen_ms`, the time up to which members may have told slots: whoever's slot lay
-before keeps it, whoever's lay after gets one that is not before it, in the same order (`respread`).
+A plan changes only after `frozen_ms`, up to which slots may have been announced: earlier slots stay,
+later ones move but never before that time, and their order stays (`replan_slots`).
 
-Waits are capped, so a client whose slot is far off is told a *turn* first: its turns lie `0.9 step` apart at
-a phase of its own that no change of a plan moves. One who comes at a turn, or at its slot, came when told.
+Waits are capped, so a client whose slot is far off is told to check in first. Its check-ins are 0.9 times the
+longest wait apart, at a phase of its own that does not depend on the plan. A client that comes at a check-in
+or at its slot is compliant.
 """
 
 from __future__ import annotations
@@ -21,44 +22,44 @@
 from struct import Struct
 from typing import NamedTuple
 
-MAX_KNOTS = 16  # of one curve; the oldest go first, past their time by then
-CHECK_IN_SHARE = 0.9  # of the longest wait: turns of one client
+MAX_KNOTS = 16  # of one curve; the oldest are dropped first, as their time has passed
+CHECK_IN_SHARE = 0.9  # of the longest wait: interval of a client's check-ins
 HASH_RANGE = 1 << 64
 HASH_WORDS = Struct(">4Q")
-MIN_CLASS_CLIENTS = 1.0  # clients of an urgency that nobody was seen of: its slots are spread for one
+MIN_CLASS_CLIENTS = 1.0  # a class without known clients is planned for one
 
 Knot = tuple[float, float]
 
 
 class ClientHash(NamedTuple):
-    """A client's hash in one epoch."""
+    """A client's hash in one admission window."""
 
-    quantiles: tuple[float, float]  # in plans of even and of odd number
-    phase: float  # of its turns, 0 to below 1
-    sketch_hash: int  # 64 bits, for its strikes
+    quantiles: tuple[float, float]  # in plans with even and odd numbers
+    phase: float  # of its check-ins, 0 to below 1
+    sketch_hash: int  # 64 bits, for the sketches
 
 
-def hash_in_window(epoch: str, client: str) -> ClientHash:
-    """Return where a client stands in an epoch."""
-    whole = hashlib.blake2b(f"{epoch}\x00{client}".encode(), digest_size=32).digest()
+def hash_in_window(window_id: str, client: str) -> ClientHash:
+    """Return the hash of a client in a window."""
+    whole = hashlib.blake2b(f"{window_id}\x00{client}".encode(), digest_size=32).digest()
     first, second, third, fourth = HASH_WORDS.unpack(whole)
     return ClientHash((first / HASH_RANGE, second / HASH_RANGE), third / HASH_RANGE, fourth)
 
 
 def hash_client(client: str) -> int:
-    """Return 64 bits for counting clients, alike in all epochs."""
+    """Return a 64-bit hash that is the same in all windows."""
     return int.from_bytes(hashlib.blake2b(client.encode(), digest_size=8).digest(), "big")
 
 
 def check_in_wait_ms(phase: float, wall_ms: int, step_ms: int) -> int:
-    """Return the wait, in ms, until the client's last turn that it can be told now."""
+    """Return the wait, in ms, until the client's last check-in within `step_ms`."""
     every = CHECK_IN_SHARE * step_ms
     last = math.floor((wall_ms + step_ms) / every - phase)
     return max(1, math.ceil((last + phase) * every) - wall_ms)
 
 
 def is_check_in(phase: float, wall_ms: int, step_ms: int, before_ms: int, after_ms: int) -> bool:
-    """Tell whether one of the client's turns is now, `before` too early or `after` too late at the most."""
+    """Tell whether a check-in is now, at most `before_ms` ahead or `after_ms` ago."""
     every = CHECK_IN_SHARE * step_ms
     since = wall_ms - phase * every
     off = since - math.floor(since / every) * every
@@ -67,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotPlan:
-    """The slots of one wave; the clients of each urgency, and their curve."""
+    """The slots of one wave: clients and curve of each class."""
 
     number: int
     clients: tuple[float, ...]
     curves: tuple[tuple[Knot, ...], ...]
 
     def slot_ms(self, rank: int, where: ClientHash) -> int:
-        """Return a client's slot."""
+        """Return a client's slot, Unix ms."""
         return self._time_at(self.curves[min(rank, len(self.curves) - 1)], where.quantiles[self.number % 2])
 
     @staticmethod
@@ -93,7 +94,7 @@
         return max(curve[-1][1] for curve in self.curves)
 
     def elapsed_share(self, rank: int, wall_ms: float) -> float:
-        """Return what part of an urgency's slots is over at a time."""
+        """Return the share of a class's slots that is past at a time."""
         curve = self.curves[rank]
         done = 0.0
         for (q0, t0), (q1, t1) in pairwise(curve):
@@ -104,14 +105,14 @@
         return done
 
     def elapsed_slots(self, wall_ms: float) -> float:
-        """Return how many slots are over at a time."""
+        """Return how many slots are past at a time."""
         return sum(count * self.elapsed_share(rank, wall_ms) for rank, count in enumerate(self.clients))
 
 
 def plan_slots(
     number: int, start_ms: float, clients: tuple[float, ...], *, per_ms: float, most_ms: float
 ) -> SlotPlan:
-    """Return a plan from `start_ms` on, urgency after urgency, at a rate of slots a ms."""
+    """Return a plan from `start_ms` on, class after class, at `per_ms` slots per ms."""
     counts = tuple(max(MIN_CLASS_CLIENTS, one) for one in clients)
     per_ms = max(per_ms, sum(counts) / most_ms)
     curves = []
@@ -131,7 +132,7 @@
     per_ms: float,
     most_ms: float,
 ) -> SlotPlan:
-    """Return the plan with what lies after `frozen_ms` spread anew, from `start_ms` on if that is later."""
+    """Return the plan with the slots after `frozen_ms` planned again, not before `start_ms`."""
     counts = tuple(max(MIN_CLASS_CLIENTS, one) for one in clients)
     left = [count * (1 - plan.elapsed_share(rank, frozen_ms)) for rank, count in enumerate(counts)]
     per_ms = max(per_ms, sum(left) / most_ms)
@@ -154,7 +155,7 @@
 
 
 def _time_of_quantile(curve: tuple[Knot, ...], quantile: float) -> float:
-    """Return the time at which a quantile is reached."""
+    """Return the time of a quantile."""
     at = bisect_left(curve, quantile, key=lambda knot: knot[0])
     (q0, t0), (q1, t1) = curve[at - 1], curve[at]
     return t0 + (t1 - t0) * (quantile - q0) / (q1 - q0)
--- a/bitternbeam/fleet/returns/window.py
+++ b/bitternbeam/fleet/returns/window.py
@@ -1,7 +1,8 @@
-"""The record of a return epoch, and what members report of it.
+"""The record of an admission window, and the members' reports on it.
 
-An epoch opens (`opening`: who comes is let in as the budget lasts, and counted), is paced by slots once the
-backlog is known (`paced`), and is `over` at its end, or for any reader once `ends_ms` has passed.
+An admission window covers one reconnect surge. While `opening`, clients are admitted as the budget allows and
+are counted. Once the backlog is known it is `paced`: each client has a slot. It is `over` when it is closed,
+and for any reader once `ends_ms` has passed. In the record its keys are those of `to_record`.
 """
 
 from __future__ import annotations
@@ -15,47 +16,47 @@
 
 OPENING, PACED, CLOSED = "opening", "paced", "over"
 PHASES = (OPENING, PACED, CLOSED)
-MAX_PLANS = 2  # the wave that comes back now, and the next one
-MAX_CLASSES = 16  # urgencies
-MAX_VALUE = 1e15  # above every time and count
+MAX_PLANS = 2  # the current wave and the next one
+MAX_CLASSES = 16  # classes, by priority
+MAX_VALUE = 1e15  # upper bound of every time and count
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionWindow:
-    """One epoch; times are Unix ms, counts by urgency, the most urgent first."""
+    """One admission window; times are Unix ms, counts are by class, the highest priority first."""
 
     id: str
     started_ms: int
     ends_ms: int
-    budget_per_s: float  # returns a second, all members together
-    revision: int = 0  # of its plans; grows with each change
+    budget_per_s: float  # reconnects per second, all members together
+    revision: int = 0  # of the plans; increases with each change
     phase: str = OPENING
     classes: tuple[str, ...] = ()
-    plans: tuple[SlotPlan, ...] = ()  # in order of time
-    committed_until_ms: int = 0  # members tell slots up to here, and no plan moves those
-    counted_clients: tuple[float, ...] = ()  # clients counted when the plans were last made
-    admitted_before_plan: float = 0.0  # let in until the first plan began
-    absent_clients: float = 0.0  # clients counted that seem to come no more
+    plans: tuple[SlotPlan, ...] = ()  # in chronological order
+    committed_until_ms: int = 0  # slots up to here may have been announced and are never moved
+    counted_clients: tuple[float, ...] = ()  # when the plans were last made
+    admitted_before_plan: float = 0.0  # clients admitted before the first plan began
+    absent_clients: float = 0.0  # clients that were counted and no longer come
 
     @property
     def backlog(self) -> float:
-        """Return how many clients the plans are for."""
+        """Return the number of clients that the plans cover."""
         return sum(sum(plan.clients) for plan in self.plans)
 
     @property
     def slot_span_ms(self) -> int:
-        """Return from the first slot to the last."""
+        """Return the time between the first and the last slot, in ms."""
         if not self.plans:
             return 0
         first = min(curve[0][1] for curve in self.plans[0].curves)
         return int(max(plan.ends_ms for plan in self.plans) - first)
 
     def is_open(self, wall_ms: int) -> bool:
-        """Tell whether it still leads."""
+        """Tell whether the window is in force."""
         return self.phase != CLOSED and wall_ms < self.ends_ms
 
     def to_record(self) -> dict[str, Any]:
-        """Return it as a record carries it."""
+        """Return the value of its record."""
         plans = [
             {
                 "number": plan.number,
@@ -84,7 +85,7 @@
 
 
 def _curve(value: Any) -> tuple[Knot, ...] | None:
-    """Read a curve: quantiles and times that never fall, the last quantile 1."""
+    """Parse a curve: quantiles and times must not decrease, and the last quantile must be 1."""
     if not isinstance(value, list) or not 2 <= len(value) <= MAX_KNOTS:
         return None
     knots: list[Knot] = []
@@ -111,7 +112,7 @@
 
 
 def parse_window(value: Any) -> AdmissionWindow | None:
-    """Read a record's value; None where it is not one."""
+    """Parse the value of a record; None if it is malformed."""
     if not isinstance(value, dict):
         return None
     name, phase, urgency, rows = (value.get(key) for key in ("id", "phase", "urgency", "plans"))
@@ -139,23 +140,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconnectReport:
-    """What one member counted; since `since_ms` unless it says otherwise."""
+    """The counts of one member, since `since_ms` unless stated otherwise."""
 
     since_ms: int
-    window_id: str = ""  # that it paces by; empty: none
-    requests_window: bool = False  # it has just started: its clients come back
+    window_id: str = ""  # the window that the member follows; empty: none
+    requests_window: bool = False  # the member has just started, so its clients will reconnect
     offered: int = 0  # in the last period
-    refused: int = 0  # in the last period, for want of budget
-    admitted_at_slot: int = 0  # let in at their slots
-    admitted: tuple[int, ...] = ()  # by urgency
-    clients: tuple[HyperLogLog, ...] = ()  # clients, by urgency
-    plan_number: int = -1  # number of the plan that `late` goes by
-    late_clients: HyperLogLog | None = None  # clients turned away after their slots
-    late_admitted: int = 0  # clients let in after their slots, while that plan led
-    late_refused: tuple[int, ...] = ()  # in the last period, by urgency
+    refused: int = 0  # in the last period, as the budget was used up
+    admitted_at_slot: int = 0  # clients admitted at their slots
+    admitted: tuple[int, ...] = ()  # by class
+    clients: tuple[HyperLogLog, ...] = ()  # by class
+    plan_number: int = -1  # number of the plan that the late counts refer to
+    late_clients: HyperLogLog | None = None  # clients refused after their slots
+    late_admitted: int = 0  # clients admitted after their slots under that plan
+    late_refused: tuple[int, ...] = ()  # in the last period, by class
 
     def to_record(self) -> dict[str, Any]:
-        """Return it as it is stored."""
+        """Return its stored form."""
         return {
             "since_ms": self.since_ms, "epoch": self.window_id, "asks": self.requests_window,
             "offered": self.offered,
@@ -176,7 +177,7 @@
 
 
 def parse_report(value: Any) -> ReconnectReport | None:
-    """Read a report; None where it is not one."""
+    """Parse a report; None if it is malformed."""
     if not isinstance(value, dict):
         return None
     whole = [value.get(key) for key in ("since_ms", "offered", "turned", "heeded", "late_let_in")]
@@ -184,12 +185,12 @@
         return None
     let_in, late_turned = _counts(value.get("let_in")), _counts(value.get("late_turned"))
     texts, late = value.get("seen"), parse_sketch(value.get("late"))
-    epoch, asks, plan = value.get("epoch"), value.get("asks"), value.get("plan")
+    window, asks, plan = value.get("epoch"), value.get("asks"), value.get("plan")
     if let_in is None or late_turned is None or late is None or not isinstance(texts, list):
         return None
     if (
         len(texts) > MAX_CLASSES
-        or not isinstance(epoch, str)
+        or not isinstance(window, str)
         or not isinstance(asks, bool)
         or type(plan) is not int
     ):
@@ -199,6 +200,6 @@
         return None
     since, offered, turned, heeded, late_let_in = whole
     return ReconnectReport(
-        int(since or 0), epoch, asks, int(offered or 0), int(turned or 0), int(heeded or 0), let_in,
+        int(since or 0), window, asks, int(offered or 0), int(turned or 0), int(heeded or 0), let_in,
         tuple(one for one in seen if one is not None), plan, late, int(late_let_in or 0), late_turned,
     )  # fmt: skip
