--- a/tests/granted_world.py
+++ b/tests/granted_world.py
@@ -1,6 +1,6 @@
-"""The simulated fleet of returns_world.py with the grants of fleet.limits in place of an ideal sharing.
+"""The simulated fleet of returns_world.py with the leases of fleet.limits in place of ideal sharing.
 
-The terms are the laboratory's (bitternbeam/lab/storm.py). One member owns the epoch, one the limit.
+The times are those of bitternbeam/lab/storm.py. One member owns the admission window, another the limit.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 
 @dataclass
 class Granted(World):
-    """A storm whose budget is granted out; `cut` cuts a member from the engine both ways."""
+    """A reconnect surge whose budget is leased; `cut` isolates a member from the coordination service."""
 
     settings: ReconnectSettings = field(
         default_factory=lambda: ReconnectSettings("back", 250.0, period_ms=PERIOD_MS)
     )
     lasts_ms: int = TTL_MS + LOCK_DELAY_MS + 4 * PERIOD_MS
-    granter: int = 0  # who owns the limit
+    granter: int = 0  # owner of the limit
 
     def __post_init__(self) -> None:
         self.limit = Limit("back", "rate", self.budget, self.safe, self.members, self.lasts_ms)
@@ -56,7 +56,7 @@
         self.reign(self.granter)
 
     def boot(self, one: Member) -> None:
-        """Give a member its part anew, as a start does."""
+        """Give a member a new holding, as a restart does."""
         part = Grant(
             LocalLimit(self.limit, self.times, one.name, 1 + self.now_us // 1000, self.now_us), self.budget
         )
@@ -65,7 +65,7 @@
             one.returns.budget = part
 
     def reign(self, number: int) -> None:
-        """Let a member own the limit from now on; it knows nothing."""
+        """Make a member the owner of the limit, without any state."""
         self.granter, self.reigns = number, self.reigns + 1
         name = self.fleet[number].name
         self.ledger = Ledger(
@@ -74,7 +74,7 @@
         self.after(PERIOD_MS / 2, partial(self.publish, self.ledger))
 
     def grant(self) -> None:
-        """Report what each needs."""
+        """Report what each member needs."""
         for one in self.fleet:
             if one.returns is None or one.down or one.paused:
                 continue
--- a/tests/reconnect_sketches.py
+++ b/tests/reconnect_sketches.py
@@ -1,4 +1,4 @@
-"""A sketch of so many clients."""
+"""Sketches of a given number of distinct clients."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def sketch_of(count: float) -> HyperLogLog:
-    one = HyperLogLog()
+    sketch = HyperLogLog()
     for number in range(int(count)):
-        one.add(hash_client(f"x{number}"))
-    return one
+        sketch.add(hash_client(f"x{number}"))
+    return sketch
--- a/tests/returns_world.py
+++ b/tests/returns_world.py
@@ -1,7 +1,7 @@
-"""A fleet in simulated time to which clients come back: members, an engine with its delays, one owner.
+"""A simulated fleet to which clients reconnect: members, a coordination service with delays, one owner.
 
-`pacing` says what meets them: the slots of bitternbeam.fleet.returns, or, to compare, nothing ("none"), the
-clients' own full jitter ("jitter"), or a plain token bucket in each member ("bucket").
+`pacing` selects the admission: slots of bitternbeam.fleet.returns or, for comparison, none ("none"), full
+jitter at the clients ("jitter"), or a plain token bucket in each member ("bucket").
 """
 
 from __future__ import annotations
@@ -49,23 +49,23 @@
 
 @dataclass
 class Client:
-    """One that comes back."""
+    """A reconnecting client."""
 
     name: str
     home: int
     heeds: bool
     rank: int = 0
-    late_ms: int = 0  # comes so much after each time that it was told
+    late_ms: int = 0  # arrives so long after each told time
     wave: int = 0
-    back_ms: float = 0.0  # let in
+    back_ms: float = 0.0  # time of admission
     tries: int = 0
-    told_ms: int = 0  # its slot, once one was told within the promise
-    again: int = 0  # times that it came at a slot it was told and was sent away
+    told_ms: int = 0  # its slot, once announced
+    again: int = 0  # refusals at an announced slot
 
 
 @dataclass
 class Member:
-    """One controller."""
+    """One instance of the fleet."""
 
     name: str
     skew_ms: int
@@ -79,7 +79,7 @@
 
 @dataclass
 class World:
-    """All of it; times in microseconds, `at` and `after` call later."""
+    """The whole simulation; times in microseconds; `at` and `after` schedule calls."""
 
     members: int = 20
     clients: int = 5_000
@@ -89,11 +89,11 @@
     seed: int = 7
     skew_ms: int = 200
     delay_ms: int = 100
-    hop: bool = False  # clients come to any member each time
-    ordinary: float = 250.0  # calls a second that need no return
-    late: float = 0.0  # part of those that heed, that come 5 s late each time
+    hop: bool = False  # clients pick any member at each try
+    ordinary: float = 250.0  # ordinary calls per second, not under admission
+    late: float = 0.0  # share of compliant clients that come 5 s late each time
     skewed: bool = False  # a quarter of the members have three in four of the clients
-    safe: float = 0.5  # of an even share, that a member cut off has
+    safe: float = 0.5  # share of an even part that an isolated member has
     settings: ReconnectSettings = field(default_factory=lambda: ReconnectSettings("returns", 250.0))
 
     def __post_init__(self) -> None:
@@ -103,8 +103,8 @@
         self.number = 0
         self.let_in_ms: list[float] = []
         self.lost = self.came = 0
-        self.offers: dict[tuple[int, int], int] = {}  # to each member in each second
-        self.people: list[Client] = []
+        self.offers: dict[tuple[int, int], int] = {}  # by member and second
+        self.all_clients: list[Client] = []
         self.record: AdmissionWindow | None = None
         self.revisions: list[AdmissionWindow] = []
         self.stored: dict[str, ReconnectReport] = {}
@@ -147,7 +147,7 @@
     def wall(self, one: Member) -> int:
         return WALL_MS + self.now_us // 1000 + one.skew_ms
 
-    # The fleet: reports at each period, the owner in the middle of it.
+    # The fleet: reports each period, the owner acts in the middle of it.
 
     def turn(self) -> None:
         self.after(self.settings.period_ms, self.turn)
@@ -162,7 +162,7 @@
                 self.after(self.delay_ms, partial(self.stored.update, {one.name: found}))
 
     def grant(self) -> None:
-        """Share the budget by demand, a tenth evenly; who is cut off has its safe part."""
+        """Share the budget by demand, a tenth of it evenly; isolated members have their safe part."""
         safe = self.safe * self.budget / self.members
         live = [one for one in self.fleet if not one.cut and not one.down]
         rest = self.budget - safe * sum(one.cut and not one.down for one in self.fleet)
@@ -186,7 +186,7 @@
 
     def write(self, epoch: AdmissionWindow, token: int) -> None:
         if token != self.token:
-            return  # the record carries a higher token
+            return  # the record has a higher fencing token
         self.record = parse_window(epoch.to_record())
         assert self.record is not None
         self.revisions.append(self.record)
@@ -199,7 +199,7 @@
             one.returns.update_window(record, self.now_us)
 
     def take_over(self, number: int) -> None:
-        """Let another member own the epoch, from what the record says."""
+        """Make another member the owner; it continues from the record."""
         self.owner, self.token = number, self.token + 1
         self.keeper = WindowPlanner(self.settings, self.fleet[number].name)
         self.keeper.resume(self.record)
@@ -208,16 +208,16 @@
     # The clients.
 
     def storm(self, at_s: float, count: int | None = None, ranks: int = 1) -> None:
-        """Let clients come back within a second."""
+        """Let clients reconnect within a second."""
         for number in range(self.clients if count is None else count):
             home = self.random.randrange(self.members)
             if self.skewed and self.random.random() < 2 / 3:
                 home = self.random.randrange(self.members // 4)
             heeds = self.random.random() < self.heed
             late_ms = 5_000 if heeds and self.random.random() < self.late else 0
-            name = f"c{len(self.people)}"
+            name = f"c{len(self.all_clients)}"
             one = Client(name, home, heeds, number % ranks, late_ms, int(at_s * 1000))
-            self.people.append(one)
+            self.all_clients.append(one)
             self.at((at_s + self.random.random()) * 1e6, partial(self.comes, one))
 
     def comes(self, one: Client) -> None:
@@ -236,7 +236,7 @@
         self.after(wait_ms + self.random.random() * 50 + one.late_ms, partial(self.comes, one))
 
     def meets(self, member: Member, one: Client) -> float | None:
-        """Return None to let a client in, or the wait that it is told, in microseconds."""
+        """Return None if the client is admitted, else the wait that it is told, in microseconds."""
         wall = self.wall(member)
         if member.returns is not None:
             word = member.returns.decide(one.name, one.rank, self.now_us, wall)
@@ -262,16 +262,16 @@
         return (0.5 + self.random.random()) * 1e6
 
     def call(self) -> None:
-        """Take a call that needs no return; it is lost where the returns took the room."""
+        """Place an ordinary call; it is lost where reconnects used the capacity up."""
         self.after(self.random.expovariate(self.ordinary) * 1000, self.call)
         self.came += 1
         live = [one for one in self.fleet if not one.down]
         self.lost += not self.random.choice(live).capacity.try_take(self.now_us)
 
-    # What came of it.
+    # Results.
 
     def most_per_s(self, from_ms: float, seconds: int = 1) -> float:
-        """Return the most that were let in a second within so many seconds, in steps of a tenth."""
+        """Return the highest admission rate over a window of so many seconds, in steps of 0.1 s."""
         bins = [0] * (self.now_us // 100_000 + 1)
         for when in self.let_in_ms:
             bins[int(when // 100)] += 1
@@ -281,13 +281,13 @@
         )
 
     def last_ms(self, heeds: bool = True) -> float:
-        """Return when the last one was back; without end where one is not."""
-        return max((one.back_ms or 1e12 for one in self.people if one.heeds is heeds), default=0.0)
+        """Return when the last client was admitted, in ms; 1e12 if one was not."""
+        return max((one.back_ms or 1e12 for one in self.all_clients if one.heeds is heeds), default=0.0)
 
     def jain(self, at_ms: float) -> float:
-        """Return Jain's index of the parts of each controller's clients that are back by a time."""
+        """Return Jain's index of the shares of each member's clients that are admitted by a time."""
         parts = []
         for number in range(self.members):
-            own = [one for one in self.people if one.home == number]
+            own = [one for one in self.all_clients if one.home == number]
             parts.append(sum(0 < one.back_ms <= at_ms for one in own) / max(1, len(own)))
         return sum(parts) ** 2 / (len(parts) * sum(one * one for one in parts) or 1)
--- a/tests/test_fleet_returns.py
+++ b/tests/test_fleet_returns.py
@@ -1,4 +1,4 @@
-"""Clients that come back at once to a small fleet of real members, judged at the callers and the bookers."""
+"""Clients that reconnect at once to a small fleet of real members, judged at clients and bookers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert "Traceback" not in said and "Unhandled" not in said
 
 
-# At the epoch's owner, from the moment on that slots are told, one after the other.
+# Faults at the window's owner, in sequence, from the time on that slots are announced.
 STORIES = [
     ("restarted_again",),
     ("owner_paused", "cut_one_there", "engine_garbage"),
@@ -43,24 +43,24 @@
 
 
 @pytest.mark.parametrize("names", STORIES, ids="-".join)
-def test_no_fault_breaks_the_promises_of_an_epoch(fleet: Fleet, names: tuple[str, ...]) -> None:
+def test_faults_break_no_announced_slot(fleet: Fleet, names: tuple[str, ...]) -> None:
     lab, before = fleet
     down = 2 if "restarted_again" in names else 0
-    most_s = 8 * CLIENTS / BUDGET  # wide, as the machine may be busy
+    most_s = 8 * CLIENTS / BUDGET  # wide, for a busy machine
     told = play_faults(
         lab, names, clients=CLIENTS, heed=0.6, down=down, lasts_s=2, most_s=most_s, before=before
     )
     assert told["broken"] == [], told
-    if names[0] in ("restarted_again", "cut_all_before"):  # else few are left that could be told one
+    if names[0] in ("restarted_again", "cut_all_before"):  # else too few clients are left to be told a slot
         assert told["longest_wait_s"] > 1.65, told  # longer than any wait without a slot
-    # A paused member keeps its own callers waiting, paced or not.
+    # A paused member keeps its clients waiting in any case.
     assert told["calls_lost_points"] <= (15 if "owner_paused" in names else 8), told
 
 
 HEEDS = {"heeds": True, "home": "m", "wait_s": 0.5}
 
 
-def test_what_is_counted_as_let_in_and_as_lost() -> None:
+def test_log_analysis_counts_admitted_and_lost_calls() -> None:
     callers = [
         {"at_us": 1, "event": "call", "target": "m", "uid": "a"},
         {"at_us": 2, "event": "call", "target": "m", "uid": "b", "client": "c"} | HEEDS,
@@ -92,7 +92,7 @@
         ([("ok", 0, 0.0)], (1, 0, 0)),
     ],
 )
-def test_who_came_at_its_slot_and_was_called_back_is_counted(
+def test_log_analysis_counts_refusals_at_announced_slots(
     second: list[tuple[str, int, float]], judged: tuple[int, int, int]
 ) -> None:
     plan = plan_slots(0, 10_000, (100.0,), per_ms=0.01, most_ms=1e6)
@@ -121,11 +121,11 @@
     assert found.next_wave == 0
 
 
-def test_what_was_put_by_under_a_larger_part_is_not_kept() -> None:
+def test_tokens_saved_at_a_higher_rate_are_dropped() -> None:
     part = Part(40.0, 40.0)
     returns = ReconnectAdmission(ReconnectSettings("back", 40.0), "m", part, random=Random(1), wall_ms=0)
     returns.update_window(AdmissionWindow("e", 100_000, 160_000, 40.0), 100_000_000)
-    # Its purse fills up to 20, before it falls to its safe part of 1 a second.
+    # The bucket fills up to 20 tokens before the rate falls to the safe part of 1 per second.
     first = [returns.decide(f"c{one}", 0, 100_000_000 + one, 100_000) for one in range(2)]
     for at_ms in range(100_250, 102_500, 250):
         returns._fill_bucket(at_ms * 1000)
@@ -135,7 +135,7 @@
     assert sum(isinstance(one, Admit) for one in then) <= MAX_BUCKET_FACTOR * MIN_BUCKET_TOKENS + 1
 
 
-def test_a_queue_of_a_small_part_is_not_still_full_when_the_part_has_grown() -> None:
+def test_a_queue_built_at_a_low_rate_is_not_full_after_the_rate_has_grown() -> None:
     part = Part(1.0, 40.0)
     returns = ReconnectAdmission(ReconnectSettings("back", 40.0), "m", part, random=Random(1), wall_ms=0)
     waves = tuple(
@@ -154,11 +154,11 @@
     returns.update_window(epoch, 100_500_000)
     names = [f"c{one}" for one in range(200)]
     names.sort(key=lambda one: waves[0].slot_ms(0, hash_in_window("e", one)))
-    # At a safe part of 1 a second the queue is soon full: who finds it so is told its slot of the next wave.
+    # At the safe rate of 1 per second the queue is soon full: more clients are told their next wave's slot.
     told = [returns.decide(one, 0, 101_100_000, 101_100) for one in names[:100]]
     waits_s = [one.delay_us / 1e6 for one in told if isinstance(one, RetryAfter)]
     assert min(waits_s) < 2 and max(waits_s) > 5
-    # The part has grown, the queue is worked off, and the purse just empty.
+    # The rate has grown, the queue is worked off, and the bucket is empty.
     part.rate_per_s = 40.0
     for at_ms in (102_800, 102_801):
         told = [returns.decide(one, 0, at_ms * 1000, at_ms) for one in names[180:]]
@@ -193,7 +193,7 @@
         ("rate", "strikes = 3", "{}:8: fleet.returns.limit: missing"),
     ],
 )
-def test_bad_settings_are_named_with_their_line_and_key(
+def test_invalid_settings_are_reported_with_line_and_key(
     tmp_path: Path, kind: str, table: str, told: str
 ) -> None:
     path = tmp_path / "node.toml"
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -1,4 +1,4 @@
-"""Return storms: slots, their revisions, and whole fleets to which all clients come back at once."""
+"""Reconnect surges: slots, their revisions, and whole fleets to which all clients reconnect at once."""
 
 from __future__ import annotations
 
@@ -34,26 +34,26 @@
 HOUR_MS = 3_600_000.0
 
 
-def test_the_aims_at_twenty_members_and_five_thousand_clients() -> None:
+def test_targets_are_met_with_twenty_members_and_five_thousand_clients() -> None:
     world = World()
     world.storm(START_S)
     backlog_ms = 1000 * world.clients / world.budget
     world.run(START_S + backlog_ms / 800)
     assert world.lost < 0.02 * world.came
     world.run(60)
-    heeding = [one for one in world.people if one.heeds]
+    heeding = [one for one in world.all_clients if one.heeds]
     assert world.most_per_s(1000 * START_S + 1000) <= 1.1 * world.budget
     assert world.last_ms() - 1000 * START_S <= 1.25 * backlog_ms
     assert min(world.jain(1000 * START_S + part * backlog_ms) for part in (0.25, 0.5, 0.75)) >= 0.95
     assert sum(one.again for one in heeding) < 0.03 * len(heeding)
-    # Those that heed nothing come behind: nothing is gained by coming early.
+    # Non-compliant clients are admitted later: coming early brings no advantage.
     means = [
         sum(one.back_ms for one in own) / len(own)
-        for own in (heeding, [one for one in world.people if not one.heeds])
+        for own in (heeding, [one for one in world.all_clients if not one.heeds])
     ]
     assert means[0] < means[1] and world.last_ms() < world.last_ms(heeds=False) < 1e6
     assert world.revisions[-1].phase == CLOSED
-    # What the busiest second of one member costs it, if all of it had come early.
+    # CPU time of the busiest second of one member if all of its calls are early.
     returns = world.fleet[0].returns
     led = next(one for one in world.revisions if one.phase == PACED)
     assert returns is not None
@@ -65,7 +65,7 @@
 
 
 def change(count: int = 1, **now: object) -> Callable[[World], None]:
-    """Change what the last `count` members are, or with 0 the first one, or what the fleet is."""
+    """Set attributes of the last `count` members, of the first one if 0, or of the fleet."""
 
     def at_once(world: World) -> None:
         for what, value in now.items():
@@ -82,8 +82,8 @@
 
 Step = tuple[float, Callable[[World], None]]
 TAKEN_OVER: Step = (9.0, lambda world: world.take_over(1))
-# What differs; what happens when; at the most: the last one that heeds over backlog / budget, how often one
-# that heeds is called back at its slot, and how often it asks.
+# World settings; events; upper bounds: last compliant client relative to backlog / budget, refusals at a slot
+# and tries per compliant client.
 STORIES: dict[str, tuple[dict[str, object], list[Step], float, float, float]] = {
     "calm": ({}, [], 1.25, 0.1, 5.5),
     "clients go to any member each time": ({"hop": True}, [], 1.25, 0.1, 5.5),
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("story", STORIES)
-def test_all_are_paced_back_whatever_happens_meanwhile(story: str) -> None:
+def test_all_clients_are_admitted_under_each_fault(story: str) -> None:
     changes, steps, last, again, tries = STORIES[story]
     world = World(**{**SMALL, **changes})  # type: ignore[arg-type]
     budget = world.budget
@@ -123,9 +123,9 @@
         world.at(at_s * 1e6, partial(step, world))
     world.storm(START_S)
     world.run(60)
-    heeding = [one for one in world.people if one.heeds and not one.late_ms]
-    assert all(one.back_ms for one in world.people)
-    # Over a single second ten members of 20 a second each differ by chance, and by their bursts.
+    heeding = [one for one in world.all_clients if one.heeds and not one.late_ms]
+    assert all(one.back_ms for one in world.all_clients)
+    # Within one second ten members at 20 per second vary by chance and by their bursts.
     assert world.most_per_s(1000 * START_S + 1000) <= 1.25 * max(budget, world.budget)
     assert world.most_per_s(1000 * START_S + 1000, 5) <= 1.08 * max(budget, world.budget)
     if world.budget < budget:
@@ -135,29 +135,33 @@
     assert sum(one.again for one in heeding) <= again * len(heeding)
     assert sum(one.tries for one in heeding) <= tries * len(heeding)
     assert not world.revisions or world.revisions[-1].phase == CLOSED
-    for one in world.people:
+    for one in world.all_clients:
         returns = world.fleet[one.home].returns
         assert returns is not None
-        if one.heeds:  # not even those that come late are taken for heedless
+        if one.heeds:  # compliant clients, even late ones, never count as non-compliant
             assert (
                 returns.violations.count(hash_in_window(returns.violations_window_id, one.name).sketch_hash)
                 < BASE.strikes
             )
 
 
-def test_the_urgent_come_first_and_nobody_waits_long_for_a_calm_start() -> None:
+def test_higher_classes_come_first_and_a_quiet_start_delays_nobody() -> None:
     world = World(**SMALL, settings=replace(BASE, classes=("urgent", "usual")))  # type: ignore[arg-type]
     world.at(START_S * 1e6, partial(start, world))
     world.run(15)
-    assert [one.phase for one in world.revisions][::10] and world.revisions[-1].phase == CLOSED  # it asked
+    assert [one.phase for one in world.revisions][::10] and world.revisions[
+        -1
+    ].phase == CLOSED  # requested at the start
     world.storm(20.25, ranks=2)
     world.run(60)
-    backs = [sorted(one.back_ms for one in world.people if one.heeds and one.rank == rank) for rank in (0, 1)]
+    backs = [
+        sorted(one.back_ms for one in world.all_clients if one.heeds and one.rank == rank) for rank in (0, 1)
+    ]
     assert backs[0][0] > 0 and backs[0][-len(backs[0]) // 10] < backs[1][len(backs[1]) // 2]
 
 
 def ends(*phases: tuple[int, int, float, int]) -> list[tuple[float, float]]:
-    """Return when the first and the last plan end, in s: clients that came, those let in, budget, seconds."""
+    """Return when the first and last plan end, in s; phases: clients, admitted, budget, seconds."""
     keeper, wall = WindowPlanner(BASE, "m0"), WALL_MS
     found: list[tuple[float, float]] = []
     for came, let_in, budget, periods in phases:
@@ -171,17 +175,17 @@
     return found
 
 
-def test_plans_follow_the_backlog_and_the_budget() -> None:
+def test_plans_follow_backlog_and_budget() -> None:
     first, more, richer = ends((2_000, 100, 50.0, 3), (3_500, 150, 50.0, 1), (3_500, 200, 100.0, 1))
     assert 40 < first[0] < 50  # 1,900 clients at 44 a second
     assert first[0] + 5 < more[0] and first[1] + 24 < more[1] < first[1] + 44  # 1,500 more
     assert richer[0] < more[0] - 5 and richer[1] < more[1] - 20
     whole, missing = ends((2_000, 100, 50.0, 3), (2_000, 250, 50.0, 12))
-    assert missing[1] < whole[1] - 5  # few of those due came
+    assert missing[1] < whole[1] - 5  # few of the due clients came
 
 
 class Rich:
-    """A budget that bears everything."""
+    """A budget without bound."""
 
     def try_take(self, now_us: int) -> bool:
         return True
--- a/tests/test_returns_granted.py
+++ b/tests/test_returns_granted.py
@@ -1,4 +1,4 @@
-"""Return storms whose budget is granted out by leases, while the owners of epoch and limit are cut off."""
+"""Reconnect surges whose budget is leased, while the owners of window and limit are isolated."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def cut(names: slice, *works: str) -> Callable[[Granted, float], None]:
-    """Cut members off for a while; another takes over those works once their leases are over."""
+    """Isolate members for a while; another takes their works over once the leases have expired."""
 
     def fault(world: Granted, at_s: float) -> None:
         for one in world.fleet[names]:
@@ -29,7 +29,7 @@
     return fault
 
 
-# The fault; at the most, and least: the last one that heeds over backlog / budget, Jain's index.
+# The fault; the bounds: last compliant client relative to backlog / budget, and Jain's index.
 FAULTS: dict[str, tuple[Callable[[Granted, float], None], float, float]] = {
     "none": (lambda world, at_s: None, 1.25, 0.97),
     "the owner of the epoch and of the limit": (cut(slice(1), "epoch", "limit"), 1.7, 0.95),
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 @pytest.mark.parametrize("at_s", [3.2, 4.2], ids=["as the epoch opens", "as slots are told"])
-def test_a_cut_shorter_than_the_grants_keeps_the_clients_of_all_members_alike(name: str, at_s: float) -> None:
+def test_isolation_shorter_than_the_leases_keeps_admission_fair_over_members(name: str, at_s: float) -> None:
     fault, last, fair = FAULTS[name]
     world = Granted(**SIZES)  # type: ignore[arg-type]
     fault(world, at_s)
--- a/tests/test_returns_parts.py
+++ b/tests/test_returns_parts.py
@@ -1,4 +1,4 @@
-"""Return storms: records, sketches and settings, each by itself."""
+"""Reconnect admission: records, sketches and settings."""
 
 from __future__ import annotations
 
@@ -49,10 +49,10 @@
     assert parse_report({**report.to_record(), "seen": ["x" * 50]}) is None
 
 
-def test_sketches_count_whom_they_saw_and_forget_no_strike() -> None:
-    whole, half = sketch_of(5_000), sketch_of(2_500)
-    assert abs(whole.count() - 5_000) < 500 and abs(sketch_of(40).count() - 40) < 4
-    assert merge_sketches([half, whole, HyperLogLog()]).count() == whole.count()
+def test_sketches_estimate_clients_and_never_undercount_violations() -> None:
+    full, half = sketch_of(5_000), sketch_of(2_500)
+    assert abs(full.count() - 5_000) < 500 and abs(sketch_of(40).count() - 40) < 4
+    assert merge_sketches([half, full, HyperLogLog()]).count() == full.count()
     strikes, dues = ViolationCounter(), RetryDeadlines()
     for number in range(4_000):
         for _ in range(number % 4):
@@ -76,6 +76,6 @@
         ("skew_ms", -1),
     ],
 )  # fmt: skip
-def test_settings_that_cannot_work_are_named(key: str, value: object) -> None:
+def test_invalid_settings_are_reported_by_key(key: str, value: object) -> None:
     assert not faults(BASE)
     assert key in [name for name, _what in faults(replace(BASE, **{key: value}))]  # type: ignore[arg-type]
