--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -419,7 +419,7 @@
         for attempt in served.bookers.out:
             tiers, most = pinned[attempt.offer.uid]
             cell = int(attempt.booker[1:])
-            assert tiers is None or any(tier.holds(attempt.booker, cell) for tier in tiers)
+            assert tiers is None or any(tier.contains(attempt.booker, cell) for tier in tiers)
             assert attempt.number < most
             seen.add(id(attempt))
 
