--- a/tests/limits_member.py
+++ b/tests/limits_member.py
@@ -21,17 +21,17 @@
     def __init__(self, world: World, number: int, boot: int, held: int | None) -> None:
         self.world, self.number, self.boot = world, number, boot
         self.name = f"m{number}"
-        self.ppm = (number % 3 - 1) * 450
+        self.clock_drift_ppm = (number % 3 - 1) * 450
         now = self.now
         limit = world.configured[self.name]
         self.session = Session(world.lease, now)
         self.claim = Claim(work_name(limit.name), self.name, world.lease)
-        self.holding = LocalLimit(limit, world.times, self.name, boot, now, held=held)
-        self.reader = LimitReader(self.holding, limit.grant_duration_us)
-        self.keeper = GrantPublisher(limit, world.times, self.name, boot)
+        self.limiter = LocalLimit(limit, world.times, self.name, boot, now, held=held)
+        self.reader = LimitReader(self.limiter, limit.grant_duration_us)
+        self.publisher = GrantPublisher(limit, world.times, self.name, boot)
         self.paused = False
-        self.mail: list[str] = []  # delayed records, not yet delivered
+        self.inbox: list[str] = []  # read but not yet delivered
 
     @property
     def now(self) -> int:
-        return self.world.now_us + self.world.now_us * self.ppm // SECOND
+        return self.world.now_us + self.world.now_us * self.clock_drift_ppm // SECOND
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -19,7 +19,7 @@
 Runs = list[tuple[LimitTrial, Called]]
 
 
-def used_again(trial: LimitTrial, lab: Called) -> bool:
+def limit_in_use(trial: LimitTrial, lab: Called) -> bool:
     """Tell whether much of the limit was used in the last two seconds."""
     return trial.used(lab, lab.now_us() - 2 * S, lab.now_us()) >= 0.6
 
@@ -35,41 +35,41 @@
             found.append((trial, running.enter_context(laboratory(trial, folder, members=4, bookers=2))))
             trial.begin(found[-1][1])
         yield found
-    said = "".join(path.read_text() for folder in folders for path in folder.glob("ctl-*.log.jsonl"))
-    assert "Traceback" not in said and "Unhandled" not in said
+    logs = "".join(path.read_text() for folder in folders for path in folder.glob("ctl-*.log.jsonl"))
+    assert "Traceback" not in logs and "Unhandled" not in logs
 
 
 @pytest.mark.parametrize("fault", ["owner_killed_after_write", "cut_half_there", "engine_back"])
-def test_limits_hold_through(runs: Runs, fault: str) -> None:
-    for told in side_by_side(runs, fault, lasts_s=3, after_s=5):
-        assert not told["broken"], told
+def test_limits_hold_during_a_fault(runs: Runs, fault: str) -> None:
+    for result in side_by_side(runs, fault, lasts_s=3, after_s=5):
+        assert not result["broken"], result
         # Wide, as the machine may be busy: it must be far above the safe parts, which are a fifth.
-        assert told["used_after"] >= 0.5, told
+        assert result["used_after"] >= 0.5, result
 
 
-def test_a_member_that_reckons_with_another_fleet_size_breaks_no_limit(runs: Runs) -> None:
-    for told in side_by_side(runs, "member_resized", lasts_s=3, after_s=3):
-        assert not told["broken"], told
+def test_member_with_another_fleet_size_breaks_no_limit(runs: Runs) -> None:
+    for result in side_by_side(runs, "member_resized", lasts_s=3, after_s=3):
+        assert not result["broken"], result
 
 
-def heeded_lately(trial: LimitTrial, lab: Called) -> bool:
+def amount_kept_recently(trial: LimitTrial, lab: Called) -> bool:
     """Tell whether the amount that holds now was kept for four seconds, in each window of a rate too."""
     since_us = lab.now_us() - 4 * S
     over = trial.kind == "rate" and trial.last_over_us(lab, since_us) != since_us
     return not over and trial.used(lab, since_us, lab.now_us()) <= 1.2
 
 
-def test_a_changed_amount_is_heeded_by_all_and_may_be_taken_back(runs: Runs) -> None:
+def test_changed_amount_is_applied_by_all_and_can_be_reverted(runs: Runs) -> None:
     before = [trial.amount for trial, _lab in runs]
     for trial, lab in runs:
         trial.change(lab, trial.amount / 4)
     for trial, lab in runs:
         # What is held is released first; then it has to be so for a while, however busy the machine.
-        wait_for(partial(heeded_lately, trial, lab), 60, "the new amount is heeded")
+        wait_for(partial(amount_kept_recently, trial, lab), 60, "the new amount to be applied")
     for (trial, lab), amount in zip(runs, before, strict=True):
         trial.change(lab, amount)
     for trial, lab in runs:
-        wait_for(partial(used_again, trial, lab), 60, "more is used again")
+        wait_for(partial(limit_in_use, trial, lab), 60, "use to grow again")
 
 
 BAD = """[fleet]
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    ("amount", "told"),
+    ("amount", "message"),
     [
         ("1.5", "{}:7: fleet.limit[0].amount: of a held limit must be a whole number"),
         ("-1", "{}:7: fleet.limit[0].amount: -1: Expected `float` > 0.0"),
@@ -91,8 +91,8 @@
         ("3\nlasts = 100", "{}:8: fleet.limit[0].lasts: unknown key"),
     ],
 )
-def test_a_bad_limit_is_named_with_its_line_and_key(tmp_path: Path, amount: str, told: str) -> None:
+def test_invalid_limit_is_reported_with_line_and_key(tmp_path: Path, amount: str, message: str) -> None:
     path = tmp_path / "node.toml"
     path.write_text(BAD % amount)
     (fault,) = check_file(path, None)
-    assert str(fault).startswith(told.format(path))
+    assert str(fault).startswith(message.format(path))
--- a/tests/test_fleet_verdicts.py
+++ b/tests/test_fleet_verdicts.py
@@ -16,14 +16,14 @@
 @pytest.fixture(scope="module")
 def lab(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Called]:
     folder = tmp_path_factory.mktemp("verdicts")
-    with laboratory(TRIAL, folder, members=4, bookers=3) as one:
-        TRIAL.begin(one)
-        yield one
-    said = "".join(path.read_text() for path in folder.glob("ctl-*.log.jsonl"))
-    assert "Traceback" not in said and "Unhandled" not in said
+    with laboratory(TRIAL, folder, members=4, bookers=3) as running_lab:
+        TRIAL.begin(running_lab)
+        yield running_lab
+    logs = "".join(path.read_text() for path in folder.glob("ctl-*.log.jsonl"))
+    assert "Traceback" not in logs and "Unhandled" not in logs
 
 
 @pytest.mark.parametrize("fault", ["owner_killed", "cut_half_there", "engine_back"])
-def test_a_verdict_holds_through_and_ends_after(lab: Called, fault: str) -> None:
-    told = TRIAL.play(lab, fault)
-    assert not told["broken"], told
+def test_verdict_holds_during_a_fault_and_expires(lab: Called, fault: str) -> None:
+    result = TRIAL.play(lab, fault)
+    assert not result["broken"], result
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,126 +20,126 @@
 TIMES = LimitTimes(SECOND, LEASE.ttl_us)
 RATE = Limit("calls", "rate", 60.0, safe=0.1, most=3, lasts_ms=5_000)
 HELD = Limit("lines", "held", 60.0, safe=0.1, most=3, lasts_ms=5_000, hold_most_ms=8_000)
-WHICH = st.sampled_from(["m0", "m1", "m2"])
+MEMBER_NAMES = st.sampled_from(["m0", "m1", "m2"])
 
 
-MANY = {
+LIMITS = {
     "rate": Limit("calls", "rate", 800.0, safe=0.05, most=40, lasts_ms=8_000),
     "held": Limit("lines", "held", 800.0, safe=0.05, most=40, lasts_ms=8_000, hold_most_ms=60_000),
 }
 KINDS = pytest.mark.parametrize("kind", ["rate", "held"])
 
 
-def many(kind: str, count: int = 40) -> World:
+def settled_world(kind: str, count: int = 40) -> World:
     """Settled members: a quarter want five times what the others do, all three times the limit."""
-    limit = replace(MANY[kind], amount=20.0 * count, most=count)
+    limit = replace(LIMITS[kind], amount=20.0 * count, most=count)
     world = World(count, limit, TIMES)
-    skew(world, 0)
+    skew_demand(world, 0)
     for _ in range(6):
-        live(world)
+        run_period(world)
     return world
 
 
-def skew(world: World, hot: int) -> None:
-    world.wants = {name: 150 if number % 4 == hot else 30 for number, name in enumerate(world.wants)}
+def skew_demand(world: World, hot: int) -> None:
+    world.demand = {name: 150 if number % 4 == hot else 30 for number, name in enumerate(world.demand)}
 
 
-def live(world: World) -> float:
-    """Let a period pass; a fifth of what is held returns. Returns which part of the limit was used.
+def run_period(world: World) -> float:
+    """Run one period, releasing a fifth of the holds, and return the fraction of the limit used.
 
-    Of a rate a period may have more or less, as sends stand a little longer: means are looked at.
+    For a rate, one period may be over or under because sends count a little longer: callers check means.
     """
     before = sum(world.served.values())
     if world.limit.kind == "held":
-        for name, things in world.things.items():
-            world.release(name, len(things) // 5)
+        for name, holds in world.holds.items():
+            world.release(name, len(holds) // 5)
     world.period()
-    world.check()
+    world.check_bounds()
     if world.limit.kind == "held":
-        return sum(len(things) for things in world.things.values()) / world.amount()
+        return sum(len(holds) for holds in world.holds.values()) / world.amount()
     return (sum(world.served.values()) - before) / world.amount()
 
 
 @KINDS
-def test_links_whole_use_the_limit_under_skew_and_never_more(kind: str) -> None:
-    world = many(kind)
-    assert mean(live(world) for _ in range(6)) >= 0.95
-    shown = next(one.keeper.status(one.now) for one in world.up() if one.keeper.ledger is not None)
+def test_connected_members_use_the_limit_under_skew_and_never_exceed_it(kind: str) -> None:
+    world = settled_world(kind)
+    assert mean(run_period(world) for _ in range(6)) >= 0.95
+    shown = next(m.publisher.status(m.now) for m in world.running() if m.publisher.ledger is not None)
     assert shown["knows"] and shown["members"] == 40 and shown["out_most"] <= world.limit.amount + 1e-6
-    skew(world, 1)  # the demand moves to another quarter
-    used = [live(world) for _ in range(6)]
+    skew_demand(world, 1)  # the demand moves to another quarter
+    used = [run_period(world) for _ in range(6)]
     assert mean(used[3:]) >= 0.95, used
 
 
 @pytest.mark.parametrize("count", [5, 12, 20, 40])
-def test_no_second_holds_more_than_the_amount_at_the_receivers(count: int) -> None:
-    world = many("rate", count)
-    used = [live(world) for _ in range(12)]
+def test_arrivals_in_any_second_stay_within_the_amount(count: int) -> None:
+    world = settled_world("rate", count)
+    used = [run_period(world) for _ in range(12)]
     assert mean(used) >= 0.95, used
-    assert 0.97 * 20 * count < world.busiest(SECOND, TOLERATED_DELAY_SPREAD_US) <= 20 * count
+    assert 0.97 * 20 * count < world.max_arrivals(SECOND, TOLERATED_DELAY_SPREAD_US) <= 20 * count
 
 
 @KINDS
-def test_a_changed_limit_is_at_all_members_in_time(kind: str) -> None:
-    world = many(kind)
-    world.change(list(world.members), 400.0)
+def test_changed_limit_reaches_all_members_in_time(kind: str) -> None:
+    world = settled_world(kind)
+    world.change_amount(list(world.members), 400.0)
     for _ in range(2):
-        live(world)  # a turn, and the reports after it
-    assert {one.holding.published_safe_part for one in world.up()} == {0.5}
-    assert sum(one.holding.usable(one.now) for one in world.up()) <= 400 + 1e-6
-    world.change(list(world.members), 1_000.0)
-    used = [live(world) for _ in range(16)]
-    assert sum(one.holding.usable(one.now) for one in world.up()) > 950 and max(used) <= 1 + 1e-6
+        run_period(world)  # one publication, and the reports after it
+    assert {m.limiter.published_safe_part for m in world.running()} == {0.5}
+    assert sum(m.limiter.usable(m.now) for m in world.running()) <= 400 + 1e-6
+    world.change_amount(list(world.members), 1_000.0)
+    used = [run_period(world) for _ in range(16)]
+    assert sum(m.limiter.usable(m.now) for m in world.running()) > 950 and max(used) <= 1 + 1e-6
 
 
 @KINDS
 @pytest.mark.parametrize("way", ["in", "out", "both"])
-def test_members_that_were_cut_are_back_in_two_periods(kind: str, way: str) -> None:
-    world = many(kind)
-    owner = next(one.name for one in world.up() if one.keeper.ledger is not None)
+def test_disconnected_members_recover_within_two_periods(kind: str, way: str) -> None:
+    world = settled_world(kind)
+    owner = next(m.name for m in world.running() if m.publisher.ledger is not None)
     cut = [name for name in world.members if name != owner][::4]
     if way != "out":
         world.cut_in.update(cut)
     if way != "in":
         world.cut_out.update(cut)
     for _ in range(14):
-        live(world)
-    assert all(one.holding.usable(one.now) <= MANY[kind].safe_part for one in world.up() if one.name in cut)
+        run_period(world)
+    assert all(m.limiter.usable(m.now) <= LIMITS[kind].safe_part for m in world.running() if m.name in cut)
     world.cut_in, world.cut_out = set(), set()
-    used = [live(world) for _ in range(6)]
+    used = [run_period(world) for _ in range(6)]
     assert mean(used[2:]) >= 0.95, used
 
 
 @KINDS
-def test_a_fleet_that_was_cut_off_whole_is_back_two_periods_after_its_owner(kind: str) -> None:
-    world = many(kind)
+def test_fully_disconnected_fleet_recovers_two_periods_after_its_owner(kind: str) -> None:
+    world = settled_world(kind)
     world.cut_in.update(world.members)
     for _ in range(14):
-        live(world)
-    assert max(one.holding.usable(one.now) for one in world.up()) <= MANY[kind].safe_part
+        run_period(world)
+    assert max(m.limiter.usable(m.now) for m in world.running()) <= LIMITS[kind].safe_part
     world.cut_in.clear()
     for _ in range(8):
-        live(world)
-        if any(one.keeper.ledger is not None for one in world.up()):
+        run_period(world)
+        if any(m.publisher.ledger is not None for m in world.running()):
             break
-    used = [live(world) for _ in range(6)]
+    used = [run_period(world) for _ in range(6)]
     assert mean(used[2:]) >= 0.95, used
 
 
 @KINDS
-def test_an_owner_that_is_killed_costs_little_and_takes_nothing_over(kind: str) -> None:
-    world = many(kind)
-    owner = next(one.name for one in world.up() if one.keeper.ledger is not None)
+def test_owner_crash_costs_little_use_and_never_exceeds_the_limit(kind: str) -> None:
+    world = settled_world(kind)
+    owner = next(m.name for m in world.running() if m.publisher.ledger is not None)
     world.crash(owner)
-    used = [live(world) for _ in range(12)]
+    used = [run_period(world) for _ in range(12)]
     assert mean(used) >= 0.85, used
     world.start(owner, remembers=True)
-    used = [live(world) for _ in range(8)]
+    used = [run_period(world) for _ in range(8)]
     assert mean(used[3:]) >= 0.95, used
 
 
 class Fleet(RuleBasedStateMachine):
-    """Every interleaving hypothesis finds of three members, their links, the owner and the engine."""
+    """Interleavings of events at three members, their links, the owner and the engine."""
 
     limit: ClassVar[Limit] = RATE
 
@@ -147,7 +147,7 @@
         most=st.sampled_from([3, 3, 4, 2]), settled=st.booleans(), small=st.sampled_from([1.0, 1.0, 0.1])
     )
     def begin(self, most: int, settled: bool, small: float) -> None:
-        self.small = small  # then safe parts are under one
+        self.small = small  # then safe parts are under member
         self.world = World(3, replace(self.limit, most=most, amount=self.limit.amount * small), TIMES)
         for _ in range(6 if settled else 0):
             self.world.period()
@@ -160,29 +160,33 @@
     def all_work(self, periods: int) -> None:
         for _ in range(periods):
             self.world.period(parts=4)
-            self.world.check()
+            self.world.check_bounds()
 
-    @rule(which=WHICH, what=st.sampled_from(["lock", "report", "turn", "look", "use"]), late=st.booleans())
+    @rule(
+        which=MEMBER_NAMES,
+        what=st.sampled_from(["lock", "report", "publish", "read_grants", "use"]),
+        late=st.booleans(),
+    )
     def one_does(self, which: str, what: str, late: bool) -> None:
-        one = self.world.members[which]
-        if one is None or one.paused:
+        member = self.world.members[which]
+        if member is None or member.paused:
             return
         if what == "use":
-            self.world.use(one, self.world.wants[which])
+            self.world.use(member, self.world.demand[which])
         elif what == "lock":
-            self.world.lock(one)
+            self.world.run_lease(member)
         else:
-            getattr(self.world, what)(one, late)
+            getattr(self.world, what)(member, late)
 
-    @rule(index=st.integers(0, 8), which=WHICH)
+    @rule(index=st.integers(0, 8), which=MEMBER_NAMES)
     def something_arrives(self, index: int, which: str) -> None:
-        one = self.world.members[which]
-        if index % 2 or one is None or one.paused:
-            self.world.land(index)
+        member = self.world.members[which]
+        if index % 2 or member is None or member.paused:
+            self.world.deliver_write(index)
         else:
-            self.world.open(one, index)
+            self.world.deliver(member, index)
 
-    @rule(which=WHICH, out=st.booleans())
+    @rule(which=MEMBER_NAMES, out=st.booleans())
     def a_link_fails_or_heals(self, which: str, out: bool) -> None:
         (self.world.cut_out if out else self.world.cut_in).symmetric_difference_update({which})
 
@@ -190,13 +194,13 @@
     def all_links_heal(self) -> None:
         self.world.cut_out, self.world.cut_in = set(), set()
 
-    @rule(which=WHICH)
+    @rule(which=MEMBER_NAMES)
     def pause_or_resume(self, which: str) -> None:
-        one = self.world.members[which]
-        if one is not None:
-            one.paused = not one.paused
+        member = self.world.members[which]
+        if member is not None:
+            member.paused = not member.paused
 
-    @rule(which=WHICH, remembers=st.booleans(), at_once=st.booleans())
+    @rule(which=MEMBER_NAMES, remembers=st.booleans(), at_once=st.booleans())
     def crash_or_start(self, which: str, remembers: bool, at_once: bool) -> None:
         there = self.world.members[which] is not None
         if there:
@@ -204,19 +208,19 @@
         if at_once or not there:
             self.world.start(which, remembers)
 
-    @rule(which=WHICH, periods=st.sampled_from([1, 4, 8]))
+    @rule(which=MEMBER_NAMES, periods=st.sampled_from([1, 4, 8]))
     def a_record_comes_very_late(self, which: str, periods: int) -> None:
-        world, one = self.world, self.world.members[which]
-        if one is None:
+        world, member = self.world, self.world.members[which]
+        if member is None:
             return
         world.cut_in.add(which)
         self.all_work(1)
         world.cut_in.discard(which)
-        world.look(one, late=True)
+        world.read_grants(member, late=True)
         world.cut_in.add(which)
         world.cut_out.add(which)
         self.all_work(periods)
-        world.open(one, -1)
+        world.deliver(member, -1)
 
     @rule()
     def engine_forgets(self) -> None:
@@ -235,15 +239,15 @@
         amount=st.sampled_from([30.0, 60.0, 90.0]),
     )
     def amount_changes(self, which: list[str], amount: float) -> None:
-        self.world.change(which, amount * self.small)
+        self.world.change_amount(which, amount * self.small)
 
-    @rule(which=WHICH, wants=st.sampled_from([0, 5, 200]))
+    @rule(which=MEMBER_NAMES, wants=st.sampled_from([0, 5, 200]))
     def demand_changes(self, which: str, wants: int) -> None:
-        self.world.wants[which] = wants
+        self.world.demand[which] = wants
 
-    @rule(which=WHICH, remembers=st.booleans(), back=st.booleans())
+    @rule(which=MEMBER_NAMES, remembers=st.booleans(), back=st.booleans())
     def all_start_again_but_one(self, which: str, remembers: bool, back: bool) -> None:
-        """Let the engine go back or forget, and who could know better be cut off or just started."""
+        """Roll back or clear the engine while the members with newer state are cut off or restarted."""
         world = self.world
         (world.restore if back else world.engine.restart)()
         for name in world.members.keys() - {which}:
@@ -252,16 +256,16 @@
         world.cut_out.add(which)
         world.cut_in.add(which)
 
-    @rule(which=WHICH, periods=st.sampled_from([6, 12]))
+    @rule(which=MEMBER_NAMES, periods=st.sampled_from([6, 12]))
     def a_reign_is_undone(self, which: str, periods: int) -> None:
-        """Pause an owner, let others rule; then the engine goes back, and all but one start again."""
+        """Pause an owner while others own the limit, then roll back the engine and restart all but one."""
         world = self.world
-        owners = [one for one in world.up() if one.keeper.ledger is not None and one.name != which]
+        owners = [m for m in world.running() if m.publisher.ledger is not None and m.name != which]
         if not owners:
             return
         world.save()
         owners[0].paused = True
-        world.wants[which] = 200
+        world.demand[which] = 200
         self.all_work(periods)
         for name in world.members.keys() - {which, owners[0].name}:
             world.crash(name)
@@ -272,14 +276,14 @@
         owners[0].paused = False
         self.all_work(4)
 
-    @rule(which=WHICH, n=st.integers(1, 30))
+    @rule(which=MEMBER_NAMES, n=st.integers(1, 30))
     def some_return(self, which: str, n: int) -> None:
         self.world.release(which, n)
 
     @invariant()
     def within_the_stated_bound(self) -> None:
         if hasattr(self, "world"):
-            self.world.check()
+            self.world.check_bounds()
 
 
 class HeldFleet(Fleet):
@@ -290,5 +294,5 @@
 
 MODEL = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True)
 Fleet.TestCase.settings = HeldFleet.TestCase.settings = MODEL
-test_a_rate_over_every_fault = Fleet.TestCase
-test_what_is_held_over_every_fault = HeldFleet.TestCase
+test_rate_limit_under_faults = Fleet.TestCase
+test_held_limit_under_faults = HeldFleet.TestCase
--- a/tests/test_limits_rules.py
+++ b/tests/test_limits_rules.py
@@ -36,20 +36,32 @@
 GRANTS = Grants("calls", "m1.1.1", 7, 1.0, 5 * SECOND, {"m0": GrantRow(40.0, 2, 1)})
 
 
-def holding(limit: Limit = RATE, held: int | None = 0) -> LocalLimit:
-    one = LocalLimit(limit, LimitTimes(), "m0", 2, 0 if limit.kind == "held" else -2 * SECOND, held=held)
-    one.build_need(0)
-    return one
+def make_limiter(limit: Limit = RATE, held: int | None = 0) -> LocalLimit:
+    limiter = LocalLimit(limit, LimitTimes(), "m0", 2, 0 if limit.kind == "held" else -2 * SECOND, held=held)
+    limiter.build_need(0)
+    return limiter
 
 
 @pytest.mark.parametrize(
-    ("token", "change", "at_us", "taken", "may"),
+    ("token", "change", "at_us", "applied", "usable"),
     [
         (TOKEN, {}, SECOND, True, 41.0),
-        (TOKEN, {}, 5 * SECOND, True, 1.0),  # its need was sent too long ago, however late it comes
-        (TOKEN, {"rows": {"m0": GrantRow(40.0, 1, 1)}}, SECOND, True, 1.0),  # of an earlier start
-        (TOKEN, {"rows": {"m0": GrantRow(40.0, 2, 9)}}, SECOND, True, 1.0),  # a need that it never sent
-        (TOKEN, {"rev": 4}, SECOND, False, 3.0),  # before the one it stands by
+        (TOKEN, {}, 5 * SECOND, True, 1.0),  # the need it answers was sent too long ago
+        (
+            TOKEN,
+            {"rows": {"m0": GrantRow(40.0, 1, 1)}},
+            SECOND,
+            True,
+            1.0,
+        ),  # answers a need of an earlier start
+        (
+            TOKEN,
+            {"rows": {"m0": GrantRow(40.0, 2, 9)}},
+            SECOND,
+            True,
+            1.0,
+        ),  # answers a need that was never sent
+        (TOKEN, {"rev": 4}, SECOND, False, 3.0),  # older than the applied record
         (Token(2, "m9"), {"rev": 99}, SECOND, False, 3.0),
         (Token(3, "m9"), {"rev": 99}, SECOND, False, 3.0),
         (Token(4, "m9"), {"rev": 1}, SECOND, True, 41.0),
@@ -58,57 +70,61 @@
         (TOKEN, {"rows": {}}, SECOND, True, 3.0),  # nothing said: it keeps what it has
     ],
 )
-def test_a_member_takes_only_what_answers_it(
-    token: Token, change: dict[str, Any], at_us: int, taken: bool, may: float
+def test_member_applies_only_grants_that_answer_its_need(
+    token: Token, change: dict[str, Any], at_us: int, applied: bool, usable: float
 ) -> None:
-    one = holding()
-    assert one.apply_grants(TOKEN, replace(GRANTS, rev=5, rows={"m0": GrantRow(2.0, 2, 1)}), 1)
-    assert one.apply_grants(token, replace(GRANTS, **change), at_us) is taken
-    assert one.usable(at_us) == may
+    limiter = make_limiter()
+    assert limiter.apply_grants(TOKEN, replace(GRANTS, rev=5, rows={"m0": GrantRow(2.0, 2, 1)}), 1)
+    assert limiter.apply_grants(token, replace(GRANTS, **change), at_us) is applied
+    assert limiter.usable(at_us) == usable
 
 
-def test_an_owner_counts_only_what_is_newer_and_stands_by_its_own_reign() -> None:
+def test_owner_applies_only_newer_needs_for_its_own_term() -> None:
     ledger = Ledger(RATE, LimitTimes(), TOKEN, "m1.1.1", 0)
-    said = Need("m0", 2, 5, 50.0, 0, 10.0, True, TOKEN, 1, "m1.1.1")
-    assert ledger.apply_need(replace(said, owner_term="m1.0.1", rev=60), 0) and ledger.pool == 0
-    assert ledger.plan_grants(1).rev == 61  # the number came again: its records go on above that reign's
-    assert ledger.apply_need(replace(said, seq=6, rev=61), 2) and ledger.pool == 10.0
-    assert ledger.plan_grants(3).rows == {"m0": GrantRow(10.0, 2, 6)}  # what it says that it has, and no more
-    assert not ledger.apply_need(replace(said, seq=5, extra=0.0, rev=62), 4)
-    assert not ledger.apply_need(replace(said, boot=1, seq=9, extra=0.0, rev=62), 4)
+    need = Need("m0", 2, 5, 50.0, 0, 10.0, True, TOKEN, 1, "m1.1.1")
+    assert ledger.apply_need(replace(need, owner_term="m1.0.1", rev=60), 0) and ledger.pool == 0
+    assert (
+        ledger.plan_grants(1).rev == 61
+    )  # the token was reissued: revisions continue above those of the other term
+    assert ledger.apply_need(replace(need, seq=6, rev=61), 2) and ledger.pool == 10.0
+    assert ledger.plan_grants(3).rows == {"m0": GrantRow(10.0, 2, 6)}  # what it reports holding, and no more
+    assert not ledger.apply_need(replace(need, seq=5, extra=0.0, rev=62), 4)
+    assert not ledger.apply_need(replace(need, boot=1, seq=9, extra=0.0, rev=62), 4)
     assert ledger.total_charge(5) == 10.0 and ledger.stale_needs == 2 and ledger.higher_token is None
-    assert ledger.apply_need(replace(said, seq=7, token=Token(3, "m9"), owner_term="m9.1.1"), 6)
+    assert ledger.apply_need(replace(need, seq=7, token=Token(3, "m9"), owner_term="m9.1.1"), 6)
     assert ledger.higher_token == Token(3, "m9") and ledger.total_charge(7) == 10.0
 
 
-def test_a_start_that_lost_its_memory_takes_no_safe_part_until_all_must_have_ended() -> None:
-    one = holding(HELD, held=None)
-    assert one.usable(0) == 0 and not one.build_need(1).holdings_known
-    assert one.usable(8_100_000) == 1.0 and one.build_need(8_100_000).holdings_known
+def test_start_without_state_uses_no_safe_part_until_old_holds_must_have_ended() -> None:
+    limiter = make_limiter(HELD, held=None)
+    assert limiter.usable(0) == 0 and not limiter.build_need(1).holdings_known
+    assert limiter.usable(8_100_000) == 1.0 and limiter.build_need(8_100_000).holdings_known
 
 
-def test_what_is_held_returns_only_with_its_release() -> None:
-    one = holding(HELD)
-    assert one.try_acquire(0) and not one.try_acquire(0) and not one.try_acquire(3_600 * SECOND)
-    one.release()
-    assert one.try_acquire(3_600 * SECOND)
+def test_held_use_returns_only_on_release() -> None:
+    limiter = make_limiter(HELD)
+    assert limiter.try_acquire(0) and not limiter.try_acquire(0) and not limiter.try_acquire(3_600 * SECOND)
+    limiter.release()
+    assert limiter.try_acquire(3_600 * SECOND)
 
 
-def test_a_call_takes_from_each_limit_that_it_meets_or_from_none() -> None:
+def test_call_acquires_all_matching_limits_or_none() -> None:
     lines = replace(HELD, amount=20.0, most=1, tenants=("acme",))
-    both = MemberLimits([lines, replace(RATE, most=10)], LimitTimes(), "m0", 1, 0, recovered={"lines": 1})
+    limits = MemberLimits([lines, replace(RATE, most=10)], LimitTimes(), "m0", 1, 0, recovered={"lines": 1})
     acme = CallScope("b1", "voice", "acme", "c1")
-    assert both.try_acquire(acme, 0) == "calls"  # an earlier start may have sent: no line is taken either
-    assert both.readers["lines"].local_limit.held == 1
-    assert both.try_acquire(acme, 2 * SECOND) == "" and both.readers["lines"].local_limit.held == 2
     assert (
-        both.try_acquire(acme, 4 * SECOND) == "lines"
-        and both.try_acquire(CallScope(tenant="bolt"), 4 * SECOND) == ""
+        limits.try_acquire(acme, 0) == "calls"
+    )  # an earlier start may have sent: no line is acquired either
+    assert limits.readers["lines"].local_limit.held == 1
+    assert limits.try_acquire(acme, 2 * SECOND) == "" and limits.readers["lines"].local_limit.held == 2
+    assert (
+        limits.try_acquire(acme, 4 * SECOND) == "lines"
+        and limits.try_acquire(CallScope(tenant="bolt"), 4 * SECOND) == ""
     )
-    both.release(acme)
-    assert both.readers["lines"].local_limit.held == 1
-    both.set_limits([replace(lines, amount=10.0)], 4 * SECOND)
-    shown = both.status(4 * SECOND, 1)
+    limits.release(acme)
+    assert limits.readers["lines"].local_limit.held == 1
+    limits.set_limits([replace(lines, amount=10.0)], 4 * SECOND)
+    shown = limits.status(4 * SECOND, 1)
     assert set(shown) == {"lines"} and shown["lines"]["held"] == 1 and shown["lines"]["over_most"] == 10.0
 
 
@@ -145,7 +161,7 @@
         ({"callers": ("",)}, "callers"),
     ],
 )
-def test_terms_that_cannot_work_are_named(change: dict[str, Any], key: str) -> None:
+def test_invalid_limits_are_reported_with_their_key(change: dict[str, Any], key: str) -> None:
     assert check_limits([HELD, RATE]) == []
     assert [(at, where) for at, where, _what in check_limits([HELD, replace(RATE, **change)])] == [(1, key)]
 
@@ -154,28 +170,28 @@
     "bad", [None, -1, [], "x", True, float("nan"), {"m0": [1.0, 2]}, {"m0": [-1.0, 1, 1]}]
 )
 @pytest.mark.parametrize("key", ["limit", "reign", "rev", "part", "lasts_us", "rows", "more"])
-def test_records_and_needs_of_another_form_are_turned_down_and_counted(key: str, bad: Any) -> None:
+def test_malformed_records_and_needs_are_rejected_and_counted(key: str, bad: Any) -> None:
     value = json.loads(json.dumps(GRANTS.to_record_value()))
     assert parse_grants(value) == GRANTS
     value[key] = bad
     if isinstance(bad, str) and key in ("limit", "reign"):
         return
-    reader = LimitReader(holding(), SECOND)
+    reader = LimitReader(make_limiter(), SECOND)
     assert not reader.read_record(Record(TOKEN, 1_000, value).text(), 0, 1_000)
     assert not reader.read_record(
         Record(TOKEN, 9_000, GRANTS.to_record_value()).text(), 0, 1_000
-    )  # from ahead
+    )  # from the future
     assert not reader.read_record("{", 0, 1_000)
     assert (
         reader.rejected["future"] == reader.rejected["malformed"] == 1 and sum(reader.rejected.values()) == 3
     )
-    row = holding().build_need(1).to_row()
+    row = make_limiter().build_need(1).to_row()
     assert parse_need("m0", row) is not None
     for at in range(len(row)):
         assert parse_need("m0", [*row[:at], {}, *row[at + 1 :]]) is None
 
 
-def test_the_bound_is_nothing_while_the_terms_stand() -> None:
+def test_excess_bound_is_zero_within_the_configured_terms() -> None:
     times, engine = LimitTimes(), TakeoverTimes()
     assert (
         current_excess(HELD, 10)
@@ -188,7 +204,7 @@
     assert current_excess(replace(RATE, amount=50.0), 10) == 10 * 0.5  # single sends on half a safe part
     assert (
         rate_excess(RATE, 10, SECOND, 100.0, delay_spread_us=20_000) == 60
-    )  # ways that differ more: a spell
+    )  # a larger delay spread adds a burst
     stale = [max_staleness_us(RATE, times, engine, case) for case in CASES]
     assert stale[0] == 1_200_000 and max(stale) == 12_500_000
     known, unknown = (recovery_us(RATE, times, engine, "owner_paused", sure) for sure in (True, False))
--- a/tests/test_limits_window.py
+++ b/tests/test_limits_window.py
@@ -21,14 +21,14 @@
 
 def holding(extra: float | None, most: int = 20, safe: float = 0.1) -> LocalLimit:
     limit = Limit("calls", "rate", 10.0 / safe, safe, most, lasts_ms=3_600_000)
-    one = LocalLimit(limit, LimitTimes(), "m0", 1, -2 * SECOND)
-    one.build_need(0)
+    limiter = LocalLimit(limit, LimitTimes(), "m0", 1, -2 * SECOND)
+    limiter.build_need(0)
     if extra is not None:
         rows = {"m0": GrantRow(extra, 1, 1)}
-        assert one.apply_grants(
+        assert limiter.apply_grants(
             Token(1, "m1"), Grants("calls", "r", 1, limit.safe_part, limit.grant_duration_us, rows), 0
         )
-    return one
+    return limiter
 
 
 @settings(derandomize=True, deadline=None, max_examples=50)
@@ -45,12 +45,14 @@
     assert one.build_need(now).held == sum(now - at < SEND_LIFETIME_US for at in sent)
 
 
-def test_a_start_sends_nothing_while_what_an_earlier_one_sent_may_stand() -> None:
-    one = LocalLimit(Limit("calls", "rate", 100.0, safe=0.1, most=5), LimitTimes(), "m0", 2, 0, held=0)
-    assert not one.try_acquire(SEND_LIFETIME_US) and not one.build_need(SEND_LIFETIME_US).holdings_known
+def test_start_sends_nothing_while_earlier_sends_may_count() -> None:
+    limiter = LocalLimit(Limit("calls", "rate", 100.0, safe=0.1, most=5), LimitTimes(), "m0", 2, 0, held=0)
     assert (
-        one.try_acquire(SEND_LIFETIME_US + BURST_SPAN_US)
-        and one.build_need(SEND_LIFETIME_US + BURST_SPAN_US).holdings_known
+        not limiter.try_acquire(SEND_LIFETIME_US) and not limiter.build_need(SEND_LIFETIME_US).holdings_known
+    )
+    assert (
+        limiter.try_acquire(SEND_LIFETIME_US + BURST_SPAN_US)
+        and limiter.build_need(SEND_LIFETIME_US + BURST_SPAN_US).holdings_known
     )
 
 
@@ -58,29 +60,29 @@
     ("extra", "most", "safe", "sends"),
     [
         (None, 20, 0.1, 5),  # half a send a second, one by one
-        (0.0, 20, 0.1, 0),  # a grant that is heard says: none
-        (0.0, 20, 1.0, 5),  # but there is nothing to grant
+        (0.0, 20, 0.1, 0),  # the received grant is zero
+        (0.0, 20, 1.0, 5),  # the safe parts leave nothing to grant
         (1.5, 20, 0.1, 20),
         (None, 8, 0.1, 10),  # 1.25, rounded down
     ],
 )
-def test_a_safe_part_under_one_is_used_by_single_sends_where_no_grant_is_heard(
+def test_safe_part_under_one_is_used_by_single_sends_without_a_grant(
     extra: float | None, most: int, safe: float, sends: int
 ) -> None:
-    one = holding(extra, most, safe)
-    times = [at for at in range(0, 10_200_000, 10_000) if one.try_acquire(at)]
+    limiter = holding(extra, most, safe)
+    times = [at for at in range(0, 10_200_000, 10_000) if limiter.try_acquire(at)]
     assert len(times) in (sends, sends + 1)
     if sends == 5:
         assert min(after - at for at, after in pairwise(times)) >= 2 * SEND_LIFETIME_US
 
 
-def test_what_may_be_chance_moves_the_demand_little_and_a_change_at_once() -> None:
-    one, told = holding(20.5), []
+def test_demand_smooths_noise_and_follows_a_change_at_once() -> None:
+    limiter, demands = holding(20.5), []
     for second, asked in enumerate([30, 30, 22, 38, 30, 90, 90, 10, 10], 1):
         for _ in range(asked):
-            one.note_refused()
-        told.append(one.build_need(second * SECOND).demand)
-    assert max(told[1:5]) - min(told[1:5]) <= 4 and told[5:7] == [90, 90] and told[7:] == [90, 10]
+            limiter.note_refused()
+        demands.append(limiter.build_need(second * SECOND).demand)
+    assert max(demands[1:5]) - min(demands[1:5]) <= 4 and demands[5:7] == [90, 90] and demands[7:] == [90, 10]
 
 
 @settings(derandomize=True, deadline=None)
@@ -102,20 +104,20 @@
         assert one <= goals[name] + 1e-6 and (one == 0 or abs(safe + one - round(safe + one)) < 1e-6)
 
 
-def test_what_is_too_little_for_all_goes_round() -> None:
+def test_insufficient_whole_parts_rotate_among_members() -> None:
     rounding, names = Rounding(), [f"m{number}" for number in range(40)]
     parts, safes = dict.fromkeys(names, 0.25), dict.fromkeys(names, 0.0125)
-    had, moved, last = dict.fromkeys(names, 0), 0, dict.fromkeys(names, 0)
+    totals, moved, last = dict.fromkeys(names, 0), 0, dict.fromkeys(names, 0)
     for _ in range(400):
         given_to = rounding.round_parts(parts, dict.fromkeys(names, True), safes, 9.9)
         assert sum(given_to.values()) == 10
         moved += sum(given_to[name] > last[name] for name in names)
-        had, last = {name: had[name] + given_to[name] for name in names}, given_to
-    assert min(had.values()) >= 80 and max(had.values()) <= 120
-    assert moved <= 10 * 400 / 4  # each keeps it for four periods at the least
+        totals, last = {name: totals[name] + given_to[name] for name in names}, given_to
+    assert min(totals.values()) >= 80 and max(totals.values()) <= 120
+    assert moved <= 10 * 400 / 4  # each keeps it for at least four periods
 
 
-def test_one_that_asks_is_not_rounded_to_nothing_and_a_flood_does_not_take_all() -> None:
+def test_asking_member_is_not_rounded_to_zero_and_a_flood_does_not_take_all() -> None:
     asks = {"hot": True, "cold": True, "idle": False}
     parts, none = {"hot": 19.8, "cold": 0.1, "idle": 0.1}, dict.fromkeys(asks, 0.0)
     assert Rounding().round_parts(parts, asks, none, 20) == {"hot": 19, "cold": 1, "idle": 0}
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -40,12 +40,12 @@
     return VerdictBoard(30 * S, 0)
 
 
-def pronounce(on: VerdictBoard, kind: str, one: Detection, now_us: int) -> None:
+def pronounce(on: VerdictBoard, kind: str, hit: Detection, now_us: int) -> None:
     wall_ms = WALL + now_us // 1000
-    on.issue(Verdict(kind, one.subject, one.cause, Token(5, "m1"), wall_ms, one.duration_ms), now_us, wall_ms)
+    on.issue(Verdict(kind, hit.subject, hit.cause, Token(5, "m1"), wall_ms, hit.duration_ms), now_us, wall_ms)
 
 
-def told(*rows: tuple[int, int]) -> dict[str, MemberReport]:
+def booker_reports(*rows: tuple[int, int]) -> dict[str, MemberReport]:
     return {f"m{place}": MemberReport({"b0": row}) for place, row in enumerate(rows)}
 
 
@@ -55,18 +55,18 @@
         ([(9, 9), (8, 4), (9, 0)], True),
         ([(9, 9)], False),  # one member may be cut off itself
         ([(9, 9), (9, 9), (9, 0), (9, 0), (9, 1)], False),  # no quorum
-        ([(9, 9), (9, 9), (2, 0), (0, 0), (1, 1)], True),  # the others can't say
+        ([(9, 9), (9, 9), (2, 0), (0, 0), (1, 1)], True),  # the others sent too little to tell
         ([(9, 4), (9, 4)], False),
         ([(2, 2), (2, 2)], False),
         ([], False),
     ],
 )
-def test_a_booker_is_ejected_by_a_quorum_of_those_that_sent_to_it(
+def test_booker_is_ejected_by_a_quorum_of_members_that_sent_to_it(
     rows: list[tuple[int, int]], ejected: bool
 ) -> None:
-    found = BookerDetector(TERMS).detect(told(*rows), board(), ["b0", "b1", "b2"], 0)
-    assert [one.subject for one in found] == (["b0"] if ejected else [])
-    assert BookerDetector(TERMS).detect(told(*rows), board(), ["b0"], 0) == []  # the only one
+    found = BookerDetector(TERMS).detect(booker_reports(*rows), board(), ["b0", "b1", "b2"], 0)
+    assert [detection.subject for detection in found] == (["b0"] if ejected else [])
+    assert BookerDetector(TERMS).detect(booker_reports(*rows), board(), ["b0"], 0) == []  # the only one
 
 
 rows = st.tuples(st.integers(0, 20), st.integers(0, 20)).map(lambda one: (max(one), min(one)))
@@ -89,46 +89,46 @@
         assert len(on.active_by_subject("booker", now)) <= share * 6
 
 
-def test_one_ejected_again_soon_stays_out_twice_as_long_whoever_judges() -> None:
-    on, now, bad = board(), 0, told((9, 9), (9, 9))
+def test_repeated_ejection_doubles_its_duration_across_owners() -> None:
+    on, now, bad = board(), 0, booker_reports((9, 9), (9, 9))
     lasted = []
     for _ in range(7):
-        (one,) = BookerDetector(TERMS).detect(
+        (found,) = BookerDetector(TERMS).detect(
             bad, on, ["b1", "b2"], now
-        )  # a new judge: it knows its board alone
-        pronounce(on, "booker", one, now)
-        lasted.append(one.duration_ms)
-        assert BookerDetector(TERMS).detect(bad, on, ["b1", "b2"], now + one.duration_ms * 1000 - 1) == []
-        now += one.duration_ms * 1000 + 4 * S
+        )  # a new detector: it has only the board
+        pronounce(on, "booker", found, now)
+        lasted.append(found.duration_ms)
+        assert BookerDetector(TERMS).detect(bad, on, ["b1", "b2"], now + found.duration_ms * 1000 - 1) == []
+        now += found.duration_ms * 1000 + 4 * S
     assert lasted == [30_000, 60_000, 120_000, 240_000, 480_000, 600_000, 600_000]
-    (one,) = BookerDetector(TERMS).detect(bad, on, ["b1", "b2"], now + 700 * S)
-    assert one.duration_ms == 30_000
+    (found,) = BookerDetector(TERMS).detect(bad, on, ["b1", "b2"], now + 700 * S)
+    assert found.duration_ms == 30_000
 
 
 @pytest.mark.parametrize("kind", ["tenant", "caller"])
-def test_who_asks_for_a_multiple_of_its_limit_for_long_is_barred(kind: str) -> None:
+def test_sustained_demand_over_a_multiple_of_the_limit_is_barred(kind: str) -> None:
     judge, on = DemandDetector(TERMS, kind, {(kind, "acme"): 10.0, ("other", "bolt"): 1.0}), board()
 
     def judged(at_s: int, *rates: float) -> list[str]:
         heard = {f"m{place}": MemberReport({}, {(kind, "acme"): rate}) for place, rate in enumerate(rates)}
         found = judge.detect(heard, on, at_s * S)
-        for one in found:
-            pronounce(on, kind, one, at_s * S)
-        return [one.subject for one in found]
+        for detection in found:
+            pronounce(on, kind, detection, at_s * S)
+        return [detection.subject for detection in found]
 
     assert judged(0, 20, 9) == judged(20, 20, 9) == []  # 29 of 30
     assert judged(21, 20, 10) == judged(30, 20, 10) == []
-    assert judged(31, 1) == []  # a lapse begins anew
+    assert judged(31, 1) == []  # a gap restarts the window
     assert judged(32, 30) == judged(41, 30) == []
     assert judged(42, 15, 15) == ["acme"]
     assert judged(43, 90) == []
-    # Still asking when the verdict is over, it has as long as before to come down.
+    # If demand is still high at expiry, the full window applies again.
     assert judged(103, 90) == judged(112, 90) == []
     assert judged(113, 90) == ["acme"]
     assert on.active(kind, "acme", 113 * S + 119 * S) is not None
 
 
-def test_a_report_covers_the_attempts_of_its_while_and_begins_anew_with_a_verdict() -> None:
+def test_report_covers_its_window_and_resets_on_a_verdict() -> None:
     seen = Observations(2, [("caller", "c1")], 0)
     for turn in range(3):
         seen.count_attempt("b0", unanswered=turn == 0)
@@ -156,7 +156,7 @@
         {"bad": {str(one): "why" for one in range(5_000)}},
     ],
 )
-def test_a_report_of_another_form_is_none(change: dict[str, Any]) -> None:
+def test_malformed_report_is_rejected(change: dict[str, Any]) -> None:
     good = {"bookers": {"b0": [2, 1]}, "demand": {"caller": {"c1": 1.5}}, "bad": {"c0ffee": "why"}}
     assert parse_report(good) is not None
     assert parse_report(good | change) is None
@@ -167,34 +167,34 @@
 
 def extension(home: Home, name: str, **fleet: Any) -> VerdictsExtension:
     """Return a member's verdicts; nothing is sent to any engine."""
-    told = Fleet(engine="127.0.0.1:1", name=name, **fleet)
-    bench = bench_of(reactor, home.deadlines, home.counters, told)
-    one = VerdictsExtension(
+    settings = Fleet(engine="127.0.0.1:1", name=name, **fleet)
+    bench = bench_of(reactor, home.deadlines, home.counters, settings)
+    member = VerdictsExtension(
         bench, TERMS, {("tenant", "acme"): 10.0}, ("b0", "b1"),
         tenant_of=lambda offer: offer.number, versions=home.versions,
     )  # fmt: skip
-    home.keeper.checks.append(one.check)
-    return one
+    home.keeper.checks.append(member.check)
+    return member
 
 
-def lead(one: VerdictsExtension, kind: str, number: int) -> Token:
+def lead(member: VerdictsExtension, kind: str, number: int) -> Token:
     """Let a member own a kind."""
-    token = Token(number, one.bench.fleet.name)
-    one.kept[kind].claim.token = token
+    token = Token(number, member.bench.fleet.name)
+    member.kept[kind].claim.token = token
     return token
 
 
-def publish(one: VerdictsExtension, kind: str, token: Token, *to: VerdictsExtension) -> None:
+def publish(member: VerdictsExtension, kind: str, token: Token, *to: VerdictsExtension) -> None:
     """Hand a member's record to others, as the watch shows it."""
     for other in to:
         now = other.bench.deadlines.now_us()
-        text = Record(token, now // 1000, one.board.record_value(kind)).text()
+        text = Record(token, now // 1000, member.board.record_value(kind)).text()
         entry = KvEntry(text, 1, 1, None)
-        other.kept[kind].shown({one.kept[kind].key: entry}, now)
+        other.kept[kind].shown({member.kept[kind].key: entry}, now)
 
 
-def turned_back() -> tuple[Served, Home, VerdictsExtension, VerdictsExtension, Token]:
-    """Return two members, the first of which judges versions and has turned one back in its probation."""
+def rolled_back() -> tuple[Served, Home, VerdictsExtension, VerdictsExtension, Token]:
+    """Return two members, the first of which judges versions and has rolled one back on probation."""
     served, other = Served(), Home()
     judging, taking = extension(served.home, "m1"), extension(other, "m2")
     token = lead(judging, "version", 1)
@@ -205,8 +205,8 @@
     return served, other, judging, taking, token
 
 
-def test_a_version_turned_back_by_one_members_probation_is_taken_by_no_other() -> None:
-    served, other, judging, taking, token = turned_back()
+def test_version_rolled_back_on_one_member_is_rejected_by_others() -> None:
+    served, other, judging, taking, token = rolled_back()
     now = served.home.deadlines.now_us()
     judging.heard({"m1": judging.reports(now)}, now)
     judging.kept["version"].act(token, now)
@@ -230,12 +230,12 @@
     assert not offered
     for _ in range(2):
         taking.tick(other.deadlines.now_us())
-    assert offered == [1]  # what was held back comes again, once
+    assert offered == [1]  # a rejected version is offered again, once
     assert other.offer(Number(1, 4), MOVED, whole=False).held
 
 
-def test_a_version_on_probation_is_ended_by_another_members_verdict_and_not_judged_anew() -> None:
-    served, other, judging, taking, token = turned_back()
+def test_verdict_of_another_member_ends_a_probation_without_a_new_report() -> None:
+    served, other, judging, taking, token = rolled_back()
     now = served.home.deadlines.now_us()
     other.waker.wait(now - other.deadlines.now_us())
     publish(judging, "version", token, taking)
@@ -250,10 +250,10 @@
     assert content_of(other.versions.running) == good
     assert "the fleet's verdict" in other.versions.ended[-1].reason
     other.waker.wait(TERMS.bad_ms * 1000 + 3 * S)
-    assert taking.reports(other.deadlines.now_us())["bad"] == {}  # that it was bad is not told again
+    assert taking.reports(other.deadlines.now_us())["bad"] == {}  # not reported as bad again
 
 
-def test_a_new_owner_learns_from_the_members_what_an_engine_forgot() -> None:
+def test_new_owner_recovers_lost_verdicts_from_members() -> None:
     homes = [Home(), Home(), Home()]
     first, second, third = (extension(home, f"m{place}") for place, home in enumerate(homes))
     token = lead(first, "tenant", 7)
@@ -275,25 +275,25 @@
     return Offer("u", "low", 0, S, 0, number, "")
 
 
-def test_a_barred_tenant_stays_away_until_the_end_and_an_ejected_booker_is_dry_until_then() -> None:
+def test_barred_tenant_and_ejected_booker_stay_out_until_expiry() -> None:
     home = Home()
-    one = extension(home, "m1")
+    member = extension(home, "m1")
     for kind, subject in (("tenant", "acme"), ("booker", "b0")):
-        token = lead(one, kind, 2)
-        one.kept[kind].judge = lambda subject=subject: [Detection(subject, "why", 30_000)]
-        one.kept[kind].act(token, 0)
-    assert one.bounds.admit(offer("acme"), 10 * S) == 20 * S
-    assert one.bounds.exhausted_bookers(offer("x"), 29 * S) == {"b0"} and one.bounds.try_send(
+        token = lead(member, kind, 2)
+        member.kept[kind].judge = lambda subject=subject: [Detection(subject, "why", 30_000)]
+        member.kept[kind].act(token, 0)
+    assert member.bounds.admit(offer("acme"), 10 * S) == 20 * S
+    assert member.bounds.exhausted_bookers(offer("x"), 29 * S) == {"b0"} and member.bounds.try_send(
         "b0", False, offer("x"), 29 * S
     )
-    assert one.bounds.try_send("b1", False, offer("x"), 29 * S) == ""
-    assert one.bounds.admit(offer("acme"), 30 * S) is None
-    assert one.bounds.exhausted_bookers(offer("x"), 30 * S) == frozenset() and not one.bounds.try_send(
+    assert member.bounds.try_send("b1", False, offer("x"), 29 * S) == ""
+    assert member.bounds.admit(offer("acme"), 30 * S) is None
+    assert member.bounds.exhausted_bookers(offer("x"), 30 * S) == frozenset() and not member.bounds.try_send(
         "b0", False, offer("x"), 30 * S
     )
 
 
-def test_a_member_that_starts_late_takes_an_old_record_for_what_it_still_says_and_no_news() -> None:
+def test_late_start_applies_an_old_record_without_counting_it_as_heard() -> None:
     home = Home()
     first, late = extension(Home(), "m1"), extension(home, "m2")
     token = lead(first, "tenant", 7)
@@ -308,24 +308,24 @@
     assert late.status()["heard"]["tenant"] is False
 
 
-def test_attempts_from_before_a_verdict_are_not_told_after_it() -> None:
-    one = extension(Home(), "m1")
+def test_attempts_before_a_verdict_are_not_reported_after_it() -> None:
+    member = extension(Home(), "m1")
     for booker in ("b0", "b1"):
-        one.bounds.attempt_timed_out(booker)
-    token = lead(one, "booker", 1)
-    one.kept["booker"].judge = lambda: [Detection("b0", "why", 30_000)]
-    one.kept["booker"].act(token, 0)
-    assert list(one.reports(S)["bookers"]) == ["b1"]
+        member.bounds.attempt_timed_out(booker)
+    token = lead(member, "booker", 1)
+    member.kept["booker"].judge = lambda: [Detection("b0", "why", 30_000)]
+    member.kept["booker"].act(token, 0)
+    assert list(member.reports(S)["bookers"]) == ["b1"]
 
 
 @pytest.mark.parametrize("subject", ["acme", "bolt"])
 def test_an_owner_that_ranks_below_the_board_takes_a_higher_token(subject: str) -> None:
-    one = extension(Home(), "m1")
-    one.board.add(Verdict("tenant", "acme", "floods", Token(9, "m9"), 0, 1_000), 0, 0)
-    token = lead(one, "tenant", 3)
-    one.kept["tenant"].judge = lambda: [Detection(subject, "floods", 2_000)]
-    one.kept["tenant"].act(token, 1_500_000)
-    assert one.kept["tenant"].claim.seen >= 9 and one.board.active("tenant", subject, 1_500_000) is None
+    member = extension(Home(), "m1")
+    member.board.add(Verdict("tenant", "acme", "floods", Token(9, "m9"), 0, 1_000), 0, 0)
+    token = lead(member, "tenant", 3)
+    member.kept["tenant"].judge = lambda: [Detection(subject, "floods", 2_000)]
+    member.kept["tenant"].act(token, 1_500_000)
+    assert member.kept["tenant"].claim.seen >= 9 and member.board.active("tenant", subject, 1_500_000) is None
 
 
 BAD = """[fleet]
@@ -355,7 +355,7 @@
         ("", "quota = 1", "{}:10: fleet.verdicts.quota: unknown key"),
     ],
 )
-def test_settings_that_contradict_are_named_with_line_and_key(
+def test_contradicting_settings_are_reported_with_line_and_key(
     tmp_path: Path, tenants: str, line: str, said: str
 ) -> None:
     path = tmp_path / "node.toml"
@@ -364,5 +364,5 @@
     assert str(fault).startswith(said.format(path))
 
 
-def test_each_kind_that_is_judged_is_one_that_is_known() -> None:
+def test_every_configured_kind_is_known() -> None:
     assert set(TERMS.kinds) == set(KINDS) and replace(TERMS).first_duration_ms("tenant") == TERMS.bar_ms
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -16,7 +16,7 @@
 from bitternbeam.fleet.verdicts.verdict import Verdict, parse_verdict, parse_verdicts
 
 WALL = 1_700_000_000_000
-ONE = Verdict("tenant", "acme", "unpaid", Token(5, "m1"), WALL, 60_000)
+VERDICT = Verdict("tenant", "acme", "unpaid", Token(5, "m1"), WALL, 60_000)
 
 verdicts = st.builds(
     Verdict,
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "wall_ms", "heard"),
+    ("change", "wall_ms", "result"),
     [
         ({}, WALL, Heard.NEW),
         ({"issued_ms": WALL + SKEW_MS + 1}, WALL, Heard.FUTURE),
@@ -60,32 +60,32 @@
         ({"duration_ms": KINDS["tenant"].max_duration_ms + 1}, WALL, Heard.MALFORMED),
     ],
 )
-def test_what_a_board_turns_down_is_counted(change: dict[str, Any], wall_ms: int, heard: Heard) -> None:
+def test_rejected_verdicts_are_counted(change: dict[str, Any], wall_ms: int, result: Heard) -> None:
     board = VerdictBoard(1_000_000, 0)
-    assert board.add(replace(ONE, **change), 0, wall_ms) is heard
-    assert board.rejected == ({} if heard is Heard.NEW else {str(heard): 1})
+    assert board.add(replace(VERDICT, **change), 0, wall_ms) is result
+    assert board.rejected == ({} if result is Heard.NEW else {str(result): 1})
 
 
-def test_one_that_comes_late_ends_with_the_others() -> None:
+def test_late_verdict_expires_with_the_others() -> None:
     board = VerdictBoard(1_000_000, 0)
-    board.add(ONE, 0, WALL + 59_000)  # from an engine that went back, or a link that was cut
-    assert board.active("tenant", "acme", 2_900_000) == ONE
+    board.add(VERDICT, 0, WALL + 59_000)  # from a restored engine, or after a link failure
+    assert board.active("tenant", "acme", 2_900_000) == VERDICT
     assert board.active("tenant", "acme", 3_000_000) is None
 
 
-def test_a_lift_stands_above_and_an_owner_below_the_board_is_told() -> None:
+def test_lift_overrides_and_owner_with_lower_token_is_refused() -> None:
     board = VerdictBoard(1_000_000, 0)
-    board.add(ONE, 0, WALL)
-    low = replace(ONE, token=Token(4, "m2"), is_lift=True)
+    board.add(VERDICT, 0, WALL)
+    low = replace(VERDICT, token=Token(4, "m2"), is_lift=True)
     assert board.issue(low, 0, WALL) is None and board.highest_token("tenant") == Token(5, "m1")
     lift = board.issue(replace(low, token=Token(6, "m2")), 0, WALL)
     assert lift is not None and board.denial_reason("tenant", "acme", 1) == ""
-    assert board.add(ONE, 0, WALL) is Heard.STALE
-    again = board.issue(replace(ONE, token=Token(6, "m2")), 0, WALL)
+    assert board.add(VERDICT, 0, WALL) is Heard.STALE
+    again = board.issue(replace(VERDICT, token=Token(6, "m2")), 0, WALL)
     assert again is not None and board.denial_reason("tenant", "acme", 1) == "unpaid"
 
 
-def test_each_kind_fails_its_way_when_nothing_is_heard() -> None:
+def test_each_kind_applies_its_failure_mode_without_records() -> None:
     board = VerdictBoard(1_000_000, 0)
     for name, kind in KINDS.items():
         assert kind.reason and board.denial_reason(name, "x", 0) == (
@@ -98,10 +98,10 @@
 
 @pytest.mark.parametrize("at", range(7))
 @pytest.mark.parametrize("bad", [None, -1, "", [], True, 1.5])
-def test_a_row_of_another_form_is_none(at: int, bad: Any) -> None:
-    row = ONE.to_row()
-    assert parse_verdict("tenant", row) == ONE
+def test_malformed_row_is_rejected(at: int, bad: Any) -> None:
+    row = VERDICT.to_row()
+    assert parse_verdict("tenant", row) == VERDICT
     row[at] = bad
     read = parse_verdict("tenant", row)
     assert read is None or (at == 6 and bad is True)
-    assert parse_verdicts({"kind": "tenant", "rows": [ONE.to_row(), row]}) is None or read is not None
+    assert parse_verdicts({"kind": "tenant", "rows": [VERDICT.to_row(), row]}) is None or read is not None
