--- a/benchmarks/fleet/solving.py
+++ b/benchmarks/fleet/solving.py
@@ -110,7 +110,7 @@
     owner.owns(token, None, now)
     owner.configure("1", made, budgets)
     publication, over, size = Publication(S), 0, 0
-    publication.shown(0, None)
+    publication.record_read(0, None)
     for period in range(WARM + periods):
         now += S
         play(fleet, made, names, random, now)
@@ -128,7 +128,7 @@
         assert isinstance(write, Write)
         text = clock.run("text", write.record.text)
         publication.written(True, write)
-        publication.shown(period + 1, text)
+        publication.record_read(period + 1, text)
         size = max(size, len(text))
         for one in fleet:
             record = clock.run("parse", partial(parse_record, text))
--- a/bitternbeam/configuration/fleet.py
+++ b/bitternbeam/configuration/fleet.py
@@ -12,8 +12,8 @@
 from bitternbeam.configuration.schema import Address, Entry, Text
 from bitternbeam.configuration.tenants import BudgetTable, TenantTable, tenant_faults
 from bitternbeam.configuration.verdicts import VerdictTable, verdict_faults
-from bitternbeam.fleet.bounds import Terms
-from bitternbeam.fleet.lease import LeaseTimes, faults
+from bitternbeam.fleet.bounds import BoundSettings
+from bitternbeam.fleet.lease import LeaseTimes, find_faults
 
 
 class Fleet(Entry, frozen=True):
@@ -93,7 +93,7 @@
 
 def fleet_faults(fleet: Fleet) -> list[Fault]:
     """Return what in a [fleet] section cannot work, each naming its key."""
-    found = [Fault(f"fleet.{key}", what) for key, what in faults(lease_times(fleet))]
+    found = [Fault(f"fleet.{key}", what) for key, what in find_faults(lease_times(fleet))]
     if not fleet.engine:
         found.append(Fault("fleet.engine", "names no engine: give the Consul agent as host:port"))
     names = [one.partition("=")[0] for one in fleet.probes]
@@ -124,9 +124,9 @@
     )
 
 
-def bound_terms(fleet: Fleet) -> Terms:
+def bound_terms(fleet: Fleet) -> BoundSettings:
     """Return what bounds sends in a [fleet] section."""
-    return Terms(
+    return BoundSettings(
         period_us=fleet.period_ms * 1000,
         retry_fraction=fleet.retry_fraction,
         retry_window_us=fleet.retry_window_ms * 1000,
--- a/bitternbeam/fleet/bounds.py
+++ b/bitternbeam/fleet/bounds.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass
 
 from bitternbeam.fleet.pressure import Pressure, Report, Traffic
-from bitternbeam.fleet.retries import Chance, RetryBudget, Throttle
+from bitternbeam.fleet.retries import RandomSource, RetryBudget, Throttle
 
-CARRIED = 1.5  # sends kept at the least: less than two, so that no member can send twice at once
-LAPSE_S = 0.5  # a send to a cold booker that is not used within it lapses
-KEPT = 4  # periods, for which what was reported is known
+MIN_BURST_SENDS = 1.5  # sends kept at the least: less than two, so that no member can send twice at once
+COLD_TOKEN_LIFETIME_S = 0.5  # a send to a cold booker that is not used within it lapses
+REPORTS_KEPT = 4  # periods, for which what was reported is known
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class BoundSettings:
     """The settings of [fleet] that bound what is sent."""
 
     period_us: int = 1_000_000
@@ -43,7 +43,7 @@
     second used six tenths of what they might.
     """
 
-    def __init__(self, now_us: int, random: Chance) -> None:
+    def __init__(self, now_us: int, random: RandomSource) -> None:
         self.random = random
         self.rate: float | None = None  # per second; None: no bound
         self.cold = False
@@ -64,8 +64,8 @@
         if self.rate is not None:
             self.tokens += self.rate * (now_us - self.at_us) / 1e6
             if not self.cold:
-                self.tokens = min(self.tokens, max(CARRIED, self.rate * period_us / 2e6))
-            elif (past := self.tokens - 1 - self.rate * LAPSE_S) > 0:
+                self.tokens = min(self.tokens, max(MIN_BURST_SENDS, self.rate * period_us / 2e6))
+            elif (past := self.tokens - 1 - self.rate * COLD_TOKEN_LIFETIME_S) > 0:
                 self.tokens -= math.ceil(past)
         self.at_us = now_us
 
@@ -78,16 +78,19 @@
 class Bounds:
     """Shares, budget and throttle of one controller; `size` tells the largest fleet seen lately."""
 
-    def __init__(self, terms: Terms, size: Callable[[], int], random: Chance, now_us: int) -> None:
+    def __init__(
+        self, terms: BoundSettings, size: Callable[[], int], random: RandomSource, now_us: int
+    ) -> None:
         self.terms, self.size, self.random = terms, size, random
         self.budget = RetryBudget(terms.retry_fraction, terms.retry_window_us, terms.retry_floor_per_s)
         self.throttle = Throttle(terms.retry_window_us // 5, terms.accepts_factor, random)
         self.buckets: dict[str, Bucket] = {}
         self.pressures: dict[str, Pressure] = {}
-        self.led: set[str] = set()  # bookers whose share was published lately
+        self.bookers_with_share: set[str] = set()  # bookers whose share was published lately
         self.began_us = now_us
         self.offers = 0
-        self.reported: deque[tuple[int, float]] = deque(maxlen=KEPT)  # when (ms), and what was offered
+        # Each report's time (ms) and the offers per second in it.
+        self.reported: deque[tuple[int, float]] = deque(maxlen=REPORTS_KEPT)
         self.counts: dict[str, list[int]] = {}  # by booker: sent, accepted, refused, late
 
     # From the fleet.
@@ -104,15 +107,15 @@
         was = before.limit if before else None
         anew = pressure.limit is not None and (was is None or pressure.limit < was / 2)
         self.pressures[booker] = pressure
-        (self.led.add if fresh else self.led.discard)(booker)
+        (self.bookers_with_share.add if fresh else self.bookers_with_share.discard)(booker)
         size = self.size()
-        offered = self._summed(pressure)
+        offered = self._reported_offers(pressure)
         if not fresh:
             pressure, offered = Pressure(pressure.limit, 0.0, size, pressure.pressed), 0.0
         bucket = self.buckets.setdefault(booker, Bucket(now_us, self.random))
         bucket.set(pressure.share(offered, size), self.terms.period_us, now_us, anew=anew, cold=cold)
 
-    def _summed(self, pressure: Pressure) -> float:
+    def _reported_offers(self, pressure: Pressure) -> float:
         """Return what this member's part of a published demand was.
 
         Danger: set against the demand of a period before, the calls of now gave each member of a fleet that
@@ -145,7 +148,7 @@
         Where shares are published they bound what is sent; the throttle is for when nobody leads.
         """
         self.offers += 1
-        return None if self.led or not self.throttle.turns_away(now_us) else 0
+        return None if self.bookers_with_share or not self.throttle.should_reject(now_us) else 0
 
     def try_send(self, booker: str, retry: bool, _offer: object, now_us: int) -> str:
         """Return why an attempt may not go out, '' if it may; a retry takes from the budget."""
--- a/bitternbeam/fleet/claim.py
+++ b/bitternbeam/fleet/claim.py
@@ -45,20 +45,20 @@
         self.times = times
         self.phase = Phase.FOLLOWING
         self.token: Token | None = None
-        self.seen = 0  # the highest token number seen anywhere: never taken again
+        self.highest_seen = 0  # the highest token number seen anywhere: never taken again
         self.counter_index = 0  # the counter's ModifyIndex for the check-and-set
-        self.stored = 0
+        self.stored_number = 0
         self.busy = False
-        self.under: str | None = None  # the session the lock was taken under: a new one holds nothing
+        self.lock_session: str | None = None  # the session the lock was taken under: a new one holds nothing
         self.not_before_us = 0  # a refused acquire waits
         self.takeovers = 0
         self.held_since_us = 0  # when the lock was granted last
 
-    def step(self, now_us: int, session: Session, wanted: bool) -> Step | None:
+    def next_step(self, now_us: int, session: Session, wanted: bool) -> Step | None:
         """Return the next step to send, or None; the caller marks it sent by sending it."""
         if self.busy:
             return None
-        if session.id is None or (self.phase is not Phase.FOLLOWING and session.id != self.under):
+        if session.id is None or (self.phase is not Phase.FOLLOWING and session.id != self.lock_session):
             self._lose()
         if session.id is None:
             return None
@@ -67,14 +67,14 @@
         return step
 
     def _choose(self, now_us: int, session: Session, wanted: bool) -> Step | None:
-        if self.phase in (Phase.OWNER, Phase.FENCING) and session.woke_us is not None:
+        if self.phase in (Phase.OWNER, Phase.FENCING) and session.pause_ended_us is not None:
             self.phase = Phase.CHECKING
         if not wanted and self.phase in (Phase.OWNER, Phase.FENCING, Phase.CHECKING):
             self.phase = Phase.RELEASING
         match self.phase:
-            case Phase.FOLLOWING if wanted and now_us >= self.not_before_us and session.sure(now_us):
+            case Phase.FOLLOWING if wanted and now_us >= self.not_before_us and session.is_valid(now_us):
                 self.phase = Phase.ACQUIRING
-                self.under = session.id
+                self.lock_session = session.id
                 # Danger: an acquire whose answer is lost may have been granted. Taken for one held long ago,
                 # it was given back at once by a member behind the first in line, and by the next one again.
                 self.held_since_us = now_us
@@ -83,7 +83,7 @@
                 return Step.READ_COUNTER
             case Phase.FENCING:
                 return Step.WRITE_COUNTER
-            case Phase.CHECKING if session.woke_us is None:
+            case Phase.CHECKING if session.pause_ended_us is None:
                 return Step.CHECK
             case Phase.RELEASING:
                 return Step.RELEASE
@@ -94,13 +94,13 @@
         if (
             self.phase is Phase.OWNER
             and self.token is not None
-            and session.id == self.under
-            and session.sure(now_us)
+            and session.id == self.lock_session
+            and session.is_valid(now_us)
         ):
             return self.token
         return None
 
-    def acquired(self, granted: bool, now_us: int) -> None:
+    def acquire_answered(self, granted: bool, now_us: int) -> None:
         """Take the answer to an acquire: true, or false (held by another or within its lock-delay)."""
         self.busy = False
         if self.phase is not Phase.ACQUIRING:
@@ -118,7 +118,7 @@
         """Take the token counter as the engine has it: its number and ModifyIndex (0 both when absent)."""
         self.busy = False
         if self.phase is Phase.FENCING:
-            self.stored = stored
+            self.stored_number = stored
             self.counter_index = modify_index
 
     def counter_written(self, done: bool) -> None:
@@ -127,8 +127,8 @@
         if self.phase is not Phase.FENCING:
             return
         if done:
-            number = next_number(self.stored, self.seen)
-            self.seen = number
+            number = next_number(self.stored_number, self.highest_seen)
+            self.highest_seen = number
             self.token = Token(number, self.holder)
             self.phase = Phase.OWNER
         else:
@@ -136,23 +136,25 @@
 
     def number_to_write(self) -> int:
         """Return the number the check-and-set writes."""
-        return next_number(self.stored, self.seen)
+        return next_number(self.stored_number, self.highest_seen)
 
-    def checked(self, holder_session: str | None, session: Session) -> None:
+    def check_answered(self, holder_session: str | None, session: Session) -> None:
         """Whose session holds the lock now: still ours keeps the token; else it follows."""
         self.busy = False
         if self.phase is not Phase.CHECKING:
             return
         if holder_session is not None and holder_session == session.id:
-            self.phase = Phase.FENCING if self.token is None or self.token.number < self.seen else Phase.OWNER
+            self.phase = (
+                Phase.FENCING if self.token is None or self.token.number < self.highest_seen else Phase.OWNER
+            )
             self.counter_index = -1 if self.phase is Phase.FENCING else self.counter_index
         else:
             self._lose()
 
-    def refused(self, highest: Token | None) -> None:
+    def act_refused(self, highest: Token | None) -> None:
         """Note that a receiver turned an act down: keep its highest number and look at the lock again."""
         if highest is not None:
-            self.seen = max(self.seen, highest.number)
+            self.highest_seen = max(self.highest_seen, highest.number)
         if self.phase is Phase.OWNER:
             self.phase = Phase.CHECKING
 
@@ -161,7 +163,7 @@
         self.busy = False
         self._lose()
 
-    def failed(self) -> None:
+    def request_failed(self) -> None:
         """Note that the step's request failed: nothing is known, so whatever was held is checked again."""
         self.busy = False
         if self.phase in (Phase.OWNER, Phase.FENCING, Phase.ACQUIRING):
@@ -169,7 +171,7 @@
 
     def _lose(self) -> None:
         if self.token is not None:
-            self.seen = max(self.seen, self.token.number)
+            self.highest_seen = max(self.highest_seen, self.token.number)
         self.token = None
-        self.under = None
+        self.lock_session = None
         self.phase = Phase.FOLLOWING
--- a/bitternbeam/fleet/commit.py
+++ b/bitternbeam/fleet/commit.py
@@ -25,7 +25,7 @@
         return {"number": self.number, "content": self.content}
 
 
-def committed_of(value: dict[str, Any]) -> Committed | None:
+def parse_committed(value: dict[str, Any]) -> Committed | None:
     """Read a record's value; None where it is not one."""
     number, content = value.get("number"), value.get("content")
     if not isinstance(number, str) or not isinstance(content, str):
@@ -36,7 +36,9 @@
     return Committed(number, content)
 
 
-def to_commit(own: Committed, committed: Committed | None, rolled_back: Collection[str]) -> Committed:
+def version_to_publish(
+    own: Committed, committed: Committed | None, rolled_back: Collection[str]
+) -> Committed:
     """Return what the owner publishes: its own good version, or the committed one while it is behind.
 
     An owner that came up on an old store must not take the fleet back; one that saw the committed version
--- a/bitternbeam/fleet/lease.py
+++ b/bitternbeam/fleet/lease.py
@@ -49,12 +49,12 @@
         return max(3 * self.tick_us, 300_000)
 
     @property
-    def sure_us(self) -> int:
+    def safe_us(self) -> int:
         """How long after sending a confirmed renewal the lease is surely still held."""
         return self.ttl_us - self.margin_us - self.ttl_us * DRIFT_PPM // 1_000_000
 
 
-def faults(times: LeaseTimes) -> list[tuple[str, str]]:
+def find_faults(times: LeaseTimes) -> list[tuple[str, str]]:
     """Each setting that cannot work, as (key, what is wrong); empty when all is well.
 
     The TTL must leave room for the margin and two renewals; the margin must cover a pause seen late by
@@ -67,7 +67,7 @@
         found.append(("margin_ms", "must cover a pause and one tick"))
     if times.ttl_us < 1_000_000 or times.ttl_us > 86_400_000_000:
         found.append(("ttl_ms", "must be between 1 s and 86400 s"))
-    elif times.sure_us <= times.renew_every_us:
+    elif times.safe_us <= times.renew_every_us:
         found.append(("ttl_ms", "leaves no room for two renewals beside the margin"))
     if times.lock_delay_us < 0 or times.lock_delay_us > 60_000_000:
         found.append(("lock_delay_ms", "must be between 0 and 60 s"))
@@ -82,7 +82,9 @@
         self.id: str | None = None
         self.confirmed_us: int | None = None  # sending time of the newest renewal the engine confirmed
         self.last_tick_us = now_us
-        self.woke_us: int | None = None  # the end of the last pause seen; cleared by a renewal sent after it
+        self.pause_ended_us: int | None = (
+            None  # the end of the last pause seen; cleared by a renewal sent after it
+        )
         self.pauses = 0
 
     def tick(self, now_us: int) -> bool:
@@ -94,16 +96,16 @@
         self.last_tick_us = max(self.last_tick_us, now_us)
         if paused:
             self.pauses += 1
-            self.woke_us = now_us
+            self.pause_ended_us = now_us
         if self.confirmed_us is not None and now_us >= self.confirmed_us + self.times.ttl_us:
-            self.lapsed()
+            self.expire()
         return paused
 
-    def sure(self, now_us: int) -> bool:
+    def is_valid(self, now_us: int) -> bool:
         """Whether the engine surely still holds the session now and no pause is unchecked."""
-        if self.id is None or self.confirmed_us is None or self.woke_us is not None:
+        if self.id is None or self.confirmed_us is None or self.pause_ended_us is not None:
             return False
-        return now_us < self.confirmed_us + self.times.sure_us and now_us - self.last_tick_us <= (
+        return now_us < self.confirmed_us + self.times.safe_us and now_us - self.last_tick_us <= (
             self.times.pause_us
         )
 
@@ -112,7 +114,7 @@
         if self.id is None:
             return False
         return (
-            self.woke_us is not None
+            self.pause_ended_us is not None
             or self.confirmed_us is None
             or now_us >= self.confirmed_us + self.times.renew_every_us
         )
@@ -121,18 +123,18 @@
         """Note that the engine made the session asked for at `sent_us`."""
         self.id = session_id
         self.confirmed_us = sent_us
-        if self.woke_us is not None and sent_us >= self.woke_us:
-            self.woke_us = None
+        if self.pause_ended_us is not None and sent_us >= self.pause_ended_us:
+            self.pause_ended_us = None
 
     def renewed(self, session_id: str, sent_us: int) -> None:
         """Note a confirmed renewal sent at `sent_us`; a late answer to an older one moves nothing back."""
         if session_id != self.id:
             return
         self.confirmed_us = sent_us if self.confirmed_us is None else max(self.confirmed_us, sent_us)
-        if self.woke_us is not None and sent_us >= self.woke_us:
-            self.woke_us = None
+        if self.pause_ended_us is not None and sent_us >= self.pause_ended_us:
+            self.pause_ended_us = None
 
-    def lapsed(self) -> None:
+    def expire(self) -> None:
         """Forget the session: the engine knows it no more (404 on renewal), or its time ran out."""
         self.id = None
         self.confirmed_us = None
--- a/bitternbeam/fleet/limits/records.py
+++ b/bitternbeam/fleet/limits/records.py
@@ -14,7 +14,7 @@
 from bitternbeam.fleet.limits.need import parse_need
 from bitternbeam.fleet.limits.sharing import Sharing
 from bitternbeam.fleet.limits.terms import Limit, LimitTimes
-from bitternbeam.fleet.record import Follower, Heard, Publication, Write, parse_record
+from bitternbeam.fleet.record import Publication, ReadResult, RecordReader, Write, parse_record
 from bitternbeam.fleet.tokens import Token
 
 
@@ -28,16 +28,16 @@
 
     def __init__(self, local_limit: LocalLimit, age_us: int) -> None:
         self.local_limit = local_limit
-        self.follower = Follower(age_us)
+        self.follower = RecordReader(age_us)
         self.rejected: dict[str, int] = {}
 
     def read_record(self, text: str, now_us: int, wall_ms: int) -> bool:
         """Take what the engine shows; True if it is now what the member goes by."""
-        heard = self.follower.hear(text, now_us, wall_ms)
-        if heard is Heard.SAME:
+        heard = self.follower.read(text, now_us, wall_ms)
+        if heard is ReadResult.SAME:
             return False
         record = self.follower.record
-        if heard is not Heard.NEW or record is None:
+        if heard is not ReadResult.NEW or record is None:
             return self._reject(str(heard))
         grants = parse_grants(record.value)
         if grants is None:
@@ -78,7 +78,7 @@
 
     def read_record(self, index: int, text: str | None) -> None:
         """Take what the engine holds: ModifyIndex and text, or (0, None)."""
-        self.publication.shown(index, text)
+        self.publication.record_read(index, text)
         record = parse_record(text) if text is not None else None
         grants = parse_grants(record.value) if record is not None else None
         self.stored_owner_term = grants.owner_term if grants is not None else ""
--- a/bitternbeam/fleet/membership.py
+++ b/bitternbeam/fleet/membership.py
@@ -17,8 +17,8 @@
 
 from bitternbeam.fleet.rendezvous import weight
 
-DOUBLINGS = 3  # a member that left often settles for at most so many doublings of settle_us
-ASIDE_MOST = 2  # past so many members that can't reach a receiver, it is the receiver that fails
+MAX_SETTLE_DOUBLINGS = 3  # a member that left often settles for at most so many doublings of settle_us
+MAX_DECLINING_MEMBERS = 2  # past so many members that can't reach a receiver, it is the receiver that fails
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,63 +30,63 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _MemberState:
     since_us: int
-    left: int = 0  # times it left and came back within recent_us
+    departures: int = 0  # times it left and came back within recent_us
     left_us: int | None = None
-    aside: frozenset[str] = frozenset()
+    declined: frozenset[str] = frozenset()
 
 
-class Roster:
+class Membership:
     """The members as told, from one member's own view. `me` always counts."""
 
     def __init__(self, me: str, damping: Damping, now_us: int) -> None:
         self.me = me
         self.damping = damping
-        self.seen: dict[str, _Seen] = {}
-        self.told_us: int | None = None
+        self.states: dict[str, _MemberState] = {}
+        self.updated_us: int | None = None
         self.sizes: deque[tuple[int, int]] = deque([(now_us, 1)])  # (time, size), newest last
-        self.asides: frozenset[str] = frozenset()  # what `me` stands aside from
+        self.declined: frozenset[str] = frozenset()  # what `me` stands aside from
 
-    def told(self, members: Mapping[str, frozenset[str]], now_us: int) -> bool:
+    def update(self, members: Mapping[str, frozenset[str]], now_us: int) -> bool:
         """Take the catalogue's passing members, each with the work it stands aside from; True if changed.
 
         Those in the first answer count at once: nothing says that they have just come.
         """
-        first = self.told_us is None
-        self.told_us = now_us
+        first = self.updated_us is None
+        self.updated_us = now_us
         before = self.present()
         for name, aside in members.items():
-            one = self.seen.get(name)
+            one = self.states.get(name)
             if one is None:
                 since = now_us - self.damping.settle_us if first else now_us
-                self.seen[name] = _Seen(since, aside=aside)
+                self.states[name] = _MemberState(since, declined=aside)
                 continue
-            one.aside = aside
+            one.declined = aside
             if one.left_us is not None:
                 long_ago = now_us - one.left_us > self.damping.recent_us
-                one.left = 0 if long_ago else one.left + 1
+                one.departures = 0 if long_ago else one.departures + 1
                 one.left_us, one.since_us = None, now_us
-        for name, one in list(self.seen.items()):
+        for name, one in list(self.states.items()):
             if name in members:
                 continue
             if one.left_us is None:
                 one.left_us = now_us
             elif now_us - one.left_us > self.damping.recent_us:
-                del self.seen[name]
+                del self.states[name]
         now = self.present()
         self._note_size(len(now), now_us)
         return now != before
 
     def present(self) -> set[str]:
         """Return the members told last, and `me`."""
-        return {name for name, one in self.seen.items() if one.left_us is None} | {self.me}
+        return {name for name, one in self.states.items() if one.left_us is None} | {self.me}
 
-    def steady(self, now_us: int) -> list[str]:
+    def stable(self, now_us: int) -> list[str]:
         """Return the members that count for ownership now, in order of their names."""
         found = {self.me}
-        for name, one in self.seen.items():
-            settle_us = self.damping.settle_us << min(one.left, DOUBLINGS)
+        for name, one in self.states.items():
+            settle_us = self.damping.settle_us << min(one.departures, MAX_SETTLE_DOUBLINGS)
             if one.left_us is None and now_us - one.since_us >= settle_us:
                 found.add(name)
         return sorted(found)
@@ -101,18 +101,20 @@
     def order(self, work: str, now_us: int) -> list[str]:
         """Return the steady members as they stand in line for a piece of work."""
         return sorted(
-            self.steady(now_us), key=lambda name: (self._aside(name, work), -weight(name, work), name)
+            self.stable(now_us), key=lambda name: (self._has_declined(name, work), -weight(name, work), name)
         )
 
-    def _aside(self, name: str, work: str) -> bool:
+    def _has_declined(self, name: str, work: str) -> bool:
         if name == self.me:
-            return work in self.asides
-        return work in self.seen[name].aside
+            return work in self.declined
+        return work in self.states[name].declined
 
-    def may_stand_aside(self, work: str) -> bool:
+    def may_decline(self, work: str) -> bool:
         """Whether `me` may stand aside: someone else is there, and few enough have done so already."""
-        others = [one for name, one in self.seen.items() if name != self.me and one.left_us is None]
-        return bool(others) and sum(work in one.aside for one in others) < min(ASIDE_MOST, len(others))
+        others = [one for name, one in self.states.items() if name != self.me and one.left_us is None]
+        return bool(others) and sum(work in one.declined for one in others) < min(
+            MAX_DECLINING_MEMBERS, len(others)
+        )
 
     def size(self, now_us: int) -> int:
         """Return the largest fleet seen within recent_us, at least 1: what shares are divided by."""
@@ -126,7 +128,7 @@
         self.size(now_us)  # lets go of what is too old
 
 
-class Standing:
+class EngineContact:
     """Whether a member acts with the fleet or alone: alone once no engine answer was good for a TTL.
 
     Alone it takes on no work of the fleet; it looks after itself at one part in the fleet's size.
@@ -134,22 +136,22 @@
 
     def __init__(self, ttl_us: int, now_us: int) -> None:
         self.ttl_us = ttl_us
-        self.good_us = now_us
-        self.alone = False
+        self.last_answer_us = now_us
+        self.is_isolated = False
 
     def answered(self, now_us: int) -> bool:
         """Note a good answer of the engine; True when the member is with the fleet again."""
-        self.good_us = now_us
-        back, self.alone = self.alone, False
+        self.last_answer_us = now_us
+        back, self.is_isolated = self.is_isolated, False
         return back
 
-    def woke(self, now_us: int) -> None:
+    def pause_ended(self, now_us: int) -> None:
         """Note the end of a pause: what was not heard meanwhile is not the engine's silence."""
-        self.good_us = now_us
+        self.last_answer_us = now_us
 
     def tick(self, now_us: int) -> bool:
         """Note the time; True when the member is alone from now on."""
-        if self.alone or now_us - self.good_us < self.ttl_us:
+        if self.is_isolated or now_us - self.last_answer_us < self.ttl_us:
             return False
-        self.alone = True
+        self.is_isolated = True
         return True
--- a/bitternbeam/fleet/placement.py
+++ b/bitternbeam/fleet/placement.py
@@ -13,7 +13,7 @@
 from bitternbeam.fleet.claim import Claim, Phase
 from bitternbeam.fleet.lease import LeaseTimes
 
-HELD = (Phase.OWNER, Phase.FENCING, Phase.CHECKING)
+HELD_PHASES = (Phase.OWNER, Phase.FENCING, Phase.CHECKING)
 
 
 @dataclass(slots=True)
@@ -37,14 +37,14 @@
         self.session, self.free_since_us, self.known = None, None, False
 
 
-def wants(claim: Claim, lock: Lock, place: int, aside: bool, now_us: int) -> bool:
+def should_hold(claim: Claim, lock: Lock, place: int, declined: bool, now_us: int) -> bool:
     """Tell whether the member wants the work now; `place` is its place in line, `aside` that it gave up."""
     times: LeaseTimes = claim.times
-    if claim.phase in HELD:
-        return not aside and (place == 0 or now_us < claim.held_since_us + times.settle_us)
-    if aside and place == 0:
-        aside = False  # all stand aside: then the first in line does the work after all
-    if aside:
+    if claim.phase in HELD_PHASES:
+        return not declined and (place == 0 or now_us < claim.held_since_us + times.settle_us)
+    if declined and place == 0:
+        declined = False  # all stand aside: then the first in line does the work after all
+    if declined:
         return False
     if not lock.known:
         return False  # the watch tells within its first answer; without one there is no engine to ask either
--- a/bitternbeam/fleet/pressure.py
+++ b/bitternbeam/fleet/pressure.py
@@ -18,16 +18,17 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-PRESSED = 0.04  # share of sends turned away or unanswered, from which a booker is pressed
-USED = 0.7  # part of the limit that must be used for it to grow
-EVEN = 0.1  # part of the limit that is split evenly
-FLOOR = 0.25  # of what the booker last bore: the limit falls no further, or it is found well too late
-LEAST_PER_S = 1.0
-STALLED = 0.2  # of what it bore: a pressed booker that takes less has stalled
-SLOW, FAST = 1.03, 1.055  # growth a period around what it bore, and after SLOW_PERIODS without pressure
+PRESSED_BAD_SHARE = 0.04  # of sends: from this share refused or unanswered on, a booker is pressed
+MIN_USED_SHARE = 0.7  # of the limit: below it the limit does not grow
+EVENLY_SPLIT_SHARE = 0.1  # of the limit: split evenly among the members
+MIN_LIMIT_SHARE = 0.25  # of the capacity: a limit below it would take far too long to recover
+MIN_LIMIT_PER_S = 1.0
+STALLED_SHARE = 0.2  # of the capacity: a pressed booker that accepts less has stalled
+SLOW_GROWTH = 1.03  # per period, around the capacity
+FAST_GROWTH = 1.055  # per period, after SLOW_PERIODS without pressure
 SLOW_PERIODS = 2
-RECALLED = 4  # periods, for which what it bore before is kept
-CALM_PERIODS = 60  # unpressed and hardly used for so many periods: no limit is needed
+CAPACITY_HISTORY_PERIODS = 4
+CALM_PERIODS = 60  # a limit that is unpressed and hardly used for so many periods is lifted
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +55,7 @@
     def pressed(self) -> bool:
         """Whether it shows a booker that can't keep up."""
         bad = self.refused + self.late
-        return bad > PRESSED * max(bad + self.accepted, LEAST_PER_S)
+        return bad > PRESSED_BAD_SHARE * max(bad + self.accepted, MIN_LIMIT_PER_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,20 +72,20 @@
         return {"at_ms": self.at_ms, "offered": round(self.offered, 3), "bookers": rows}
 
 
-def _rate(value: Any) -> bool:
+def _is_rate(value: Any) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < 1e9
 
 
-def report_of(value: Any) -> Report | None:
+def parse_report(value: Any) -> Report | None:
     """Read a report; None where it is not one."""
     if not isinstance(value, dict):
         return None
     at_ms, offered, rows = value.get("at_ms"), value.get("offered"), value.get("bookers")
-    if type(at_ms) is not int or at_ms < 0 or not _rate(offered) or not isinstance(rows, dict):
+    if type(at_ms) is not int or at_ms < 0 or not _is_rate(offered) or not isinstance(rows, dict):
         return None
     bookers = {}
     for name, row in rows.items():
-        if not isinstance(row, list) or len(row) != 4 or not all(_rate(one) for one in row):
+        if not isinstance(row, list) or len(row) != 4 or not all(_is_rate(one) for one in row):
             return None
         bookers[str(name)] = Traffic(*(float(one) for one in row))
     return Report(at_ms, float(offered or 0), bookers)
@@ -125,36 +126,36 @@
         if self.demand <= 0:
             part = 1 / members
         lessened = self.members / members  # of the demand-led part too: the others' demand is not known
-        return self.limit * (EVEN / members + (1 - EVEN) * part * lessened)
+        return self.limit * (EVENLY_SPLIT_SHARE / members + (1 - EVENLY_SPLIT_SHARE) * part * lessened)
 
 
-def pressure_of(value: Any) -> Pressure | None:
+def parse_pressure(value: Any) -> Pressure | None:
     """Read a pressure; None where it is not one."""
     if not isinstance(value, dict):
         return None
     limit, demand = value.get("limit"), value.get("demand")
     members, pressed, at_ms = value.get("members"), value.get("pressed"), value.get("at_ms", 0)
-    if limit is not None and not _rate(limit):
+    if limit is not None and not _is_rate(limit):
         return None
-    if not _rate(demand) or type(members) is not int or members < 1 or not isinstance(pressed, bool):
+    if not _is_rate(demand) or type(members) is not int or members < 1 or not isinstance(pressed, bool):
         return None
     bore = value.get("bore", 0.0)
-    if type(at_ms) is not int or at_ms < 0 or not _rate(bore):
+    if type(at_ms) is not int or at_ms < 0 or not _is_rate(bore):
         return None
     limit = None if limit is None else float(limit)
     return Pressure(limit, float(demand or 0), members, pressed, at_ms, float(bore))
 
 
-class Governor:
+class LimitController:
     """The fleet's limit for one booker, in the hands of its owner; moved once a period."""
 
     def __init__(self) -> None:
         self.limit: float | None = None
-        self.bore = 0.0  # what the booker took when it was last pressed and serving
-        self.calm = 0  # periods hardly used
-        self.well = 0  # periods in a row that were used and not pressed
-        self.bores: deque[float] = deque(maxlen=RECALLED)
-        self.warming = False  # in the last period it was cold, and took what it was sent
+        self.capacity = 0.0  # what the booker took when it was last pressed and serving
+        self.idle_periods = 0  # periods hardly used
+        self.unpressed_periods = 0  # periods in a row that were used and not pressed
+        self.capacity_history: deque[float] = deque(maxlen=CAPACITY_HISTORY_PERIODS)
+        self.was_cold_unpressed = False  # in the last period it was cold, and took what it was sent
 
     def resume(self, pressure: Pressure) -> None:
         """Go on from what the owner before published.
@@ -162,22 +163,22 @@
         Danger: taken from the limit, what a booker bears was an eighth where a cold one changed owners, and
         the parts of its ramp eighths of that; and the most of all limits seen where it never was cold.
         """
-        self.limit, self.bore = pressure.limit, pressure.bore or max(self.bore, pressure.limit or 0.0)
-        self.calm = self.well = 0
+        self.limit, self.capacity = pressure.limit, pressure.bore or max(self.capacity, pressure.limit or 0.0)
+        self.idle_periods = self.unpressed_periods = 0
 
-    def recall(self) -> None:
+    def restore_capacity(self) -> None:
         """Take back what it bore some periods ago: since then it was another booker than was thought."""
-        self.bore = max(self.bore, *self.bores, 0.0)
+        self.capacity = max(self.capacity, *self.capacity_history, 0.0)
 
     def step(self, traffic: Traffic, *, cold: bool = False) -> bool:
         """Move the limit by a period's traffic of the whole fleet; returns whether the booker is pressed.
 
         Danger: what a cold booker took, taken for what it bears, made its parts eighths of an eighth.
         """
-        self.bores.append(self.bore)
+        self.capacity_history.append(self.capacity)
         # Danger: two periods' traffic told in one was taken for what it bears, and a cold one got too much.
         accepted = traffic.accepted if self.limit is None else min(traffic.accepted, self.limit)
-        warm, self.warming = self.warming and not cold, cold and not traffic.pressed
+        warm, self.was_cold_unpressed = self.was_cold_unpressed and not cold, cold and not traffic.pressed
         if traffic.pressed:
             self._lower(traffic, accepted, cold)
             return True
@@ -186,11 +187,11 @@
         if warm:
             # Danger: what it turned away while it was cold and nobody knew had halved the limit. Warm, it got
             # half of what it bears, and as long as that was not used up it stayed so.
-            self.limit = max(self.limit, 0.9 * self.bore)
-        if traffic.sent < USED * self.limit:
-            self.well = 0
-            self.calm += 1
-            if self.calm >= CALM_PERIODS:
+            self.limit = max(self.limit, 0.9 * self.capacity)
+        if traffic.sent < MIN_USED_SHARE * self.limit:
+            self.unpressed_periods = 0
+            self.idle_periods += 1
+            if self.idle_periods >= CALM_PERIODS:
                 self.limit = None
             return False
         self.limit = self._raised(self.limit, accepted)
@@ -198,44 +199,44 @@
 
     def _lower(self, traffic: Traffic, accepted: float, cold: bool) -> None:
         """Lower the limit of a booker that is pressed."""
-        self.calm = self.well = 0
+        self.idle_periods = self.unpressed_periods = 0
         # Danger: one late call where little was sent, as members had stood still, halved the limit
         # thrice, and what it took then passed for what it bears: 20 s till it was back. There it falls by
         # the part that was bad (as DCTCP does, Alizadeh et al. 2010); else to what was taken.
         part = 0.0
-        if self.limit is not None and traffic.sent < USED * self.limit:
+        if self.limit is not None and traffic.sent < MIN_USED_SHARE * self.limit:
             part = traffic.accepted / (traffic.accepted + traffic.refused + traffic.late)
         # One that takes a good part has a new capacity; one that takes next to nothing has stalled, and
         # what it bore before is where it is soon taken back to.
-        if accepted >= STALLED * self.bore and not cold:
-            self.bore = max(accepted, part * self.bore)
-        least = max(LEAST_PER_S, FLOOR * self.bore)
+        if accepted >= STALLED_SHARE * self.capacity and not cold:
+            self.capacity = max(accepted, part * self.capacity)
+        least = max(MIN_LIMIT_PER_S, MIN_LIMIT_SHARE * self.capacity)
         self.limit = max(accepted, least, max(0.5, part) * (self.limit or 0.0))
 
     def _raised(self, limit: float, accepted: float) -> float:
         """Return the limit after a period in which it was used up and the booker was not pressed."""
-        self.calm = 0
-        self.well += 1
+        self.idle_periods = 0
+        self.unpressed_periods += 1
         # Danger: kept at what it took while it was halved, the way back after a later stall began from there.
-        self.bore = max(self.bore, accepted)
-        if limit < 0.5 * self.bore:
-            return min(2 * limit, 0.9 * self.bore)
-        if limit < 0.9 * self.bore:
-            return min(1.25 * limit, 0.95 * self.bore)
-        return limit * (SLOW if self.well <= SLOW_PERIODS else FAST)
+        self.capacity = max(self.capacity, accepted)
+        if limit < 0.5 * self.capacity:
+            return min(2 * limit, 0.9 * self.capacity)
+        if limit < 0.9 * self.capacity:
+            return min(1.25 * limit, 0.95 * self.capacity)
+        return limit * (SLOW_GROWTH if self.unpressed_periods <= SLOW_PERIODS else FAST_GROWTH)
 
 
-def cold_limit(share: float, bore: float, others: Iterable[float]) -> float:
+def cold_limit(share: float, capacity: float, other_rates: Iterable[float]) -> float:
     """Return what the whole fleet may send a booker that comes back, `share` of its usual load.
 
     What is usual is what it bore when it was last pressed; for one never pressed, what the others take now.
     """
-    taken = [one for one in others if one > 0]
-    usual = bore or (sum(taken) / len(taken) if taken else 0.0)
-    return max(LEAST_PER_S, share * usual)
+    taken = [one for one in other_rates if one > 0]
+    usual = capacity or (sum(taken) / len(taken) if taken else 0.0)
+    return max(MIN_LIMIT_PER_S, share * usual)
 
 
-def total(reports: Iterable[Report], booker: str) -> tuple[Traffic, float]:
+def sum_reports(reports: Iterable[Report], booker: str) -> tuple[Traffic, float]:
     """Return the fleet's traffic at one booker and the demand on all members."""
     traffic, demand = Traffic(), 0.0
     for one in reports:
--- a/bitternbeam/fleet/record.py
+++ b/bitternbeam/fleet/record.py
@@ -20,8 +20,8 @@
 
 from bitternbeam.fleet.tokens import Fence, Token, parse_token
 
-RECORD_BYTES = 512 * 1024  # Consul's own bound on a value
-SKEW_MS = 2_000  # clocks of two hosts may differ by so much
+MAX_RECORD_BYTES = 512 * 1024  # Consul's own bound on a value
+MAX_CLOCK_SKEW_MS = 2_000  # clocks of two hosts may differ by so much
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 def parse_record(text: str) -> Record | None:
     """Read a record; None for anything else (a reader never trusts what it can't read)."""
-    if len(text) > RECORD_BYTES:
+    if len(text) > MAX_RECORD_BYTES:
         return None
     try:
         whole = msgspec.json.decode(text)
@@ -55,7 +55,7 @@
     return Record(token, at_ms, value)
 
 
-class Heard(StrEnum):
+class ReadResult(StrEnum):
     """What a reader made of a record."""
 
     NEW = "new"  # taken
@@ -66,7 +66,7 @@
     OLD = "old"  # past the age bound when first seen
 
 
-class Follower:
+class RecordReader:
     """One reader of one record: what it believes, and until when. What it turns down is counted."""
 
     def __init__(self, age_us: int) -> None:
@@ -74,30 +74,30 @@
         self.fence = Fence()
         self.record: Record | None = None
         self.seen_us = 0
-        self.refused: dict[Heard, int] = {}
+        self.refused: dict[ReadResult, int] = {}
 
-    def hear(self, text: str, now_us: int, wall_ms: int) -> Heard:
+    def read(self, text: str, now_us: int, wall_ms: int) -> ReadResult:
         """Judge what the engine shows now; `now_us` monotonic, `wall_ms` Unix time."""
         record = parse_record(text)
-        heard = Heard.MALFORMED
+        heard = ReadResult.MALFORMED
         if record is not None:
             heard = self._judge(record, wall_ms)
-        if heard is Heard.NEW:
+        if heard is ReadResult.NEW:
             self.record, self.seen_us = record, now_us
-        elif heard is not Heard.SAME:
+        elif heard is not ReadResult.SAME:
             self.refused[heard] = self.refused.get(heard, 0) + 1
         return heard
 
-    def _judge(self, record: Record, wall_ms: int) -> Heard:
+    def _judge(self, record: Record, wall_ms: int) -> ReadResult:
         if record == self.record:
-            return Heard.SAME
-        if record.at_ms > wall_ms + SKEW_MS:
-            return Heard.FUTURE
-        if (wall_ms - record.at_ms) * 1000 > self.age_us + SKEW_MS * 1000:
-            return Heard.OLD
+            return ReadResult.SAME
+        if record.at_ms > wall_ms + MAX_CLOCK_SKEW_MS:
+            return ReadResult.FUTURE
+        if (wall_ms - record.at_ms) * 1000 > self.age_us + MAX_CLOCK_SKEW_MS * 1000:
+            return ReadResult.OLD
         if not self.fence.admit(record.token).accepted:
-            return Heard.STALE
-        return Heard.NEW
+            return ReadResult.STALE
+        return ReadResult.NEW
 
     def fresh(self, now_us: int) -> Record | None:
         """Return the record if it is still within its age, else None."""
@@ -125,10 +125,10 @@
         self.index: int | None = None  # of the record in the engine; None: not known
         self.stored: Token | None = None  # the token it carries
         self.busy = False
-        self.wrote: tuple[Token, dict[str, Any]] | None = None
+        self.last_written: tuple[Token, dict[str, Any]] | None = None
         self.wrote_us = 0
 
-    def shown(self, index: int, text: str | None) -> None:
+    def record_read(self, index: int, text: str | None) -> None:
         """Take what the engine holds: its ModifyIndex and text, or (0, None) where there is none."""
         record = parse_record(text) if text is not None else None
         self.index = index
@@ -142,7 +142,7 @@
         """Tell whether this owner has something to write now."""
         if self.busy:
             return False
-        if self.wrote is None or self.wrote != (token, value):
+        if self.last_written is None or self.last_written != (token, value):
             return True
         # All owners refresh in the same moments of Unix time: a watcher then wakes once for all of them.
         return now_us // self.refresh_us != self.wrote_us // self.refresh_us
@@ -161,7 +161,7 @@
         """Take the engine's answer to a write: done, or another wrote first."""
         self.busy = False
         self.index = None  # either way the index has moved
-        self.wrote = (write.record.token, write.record.value) if done else None
+        self.last_written = (write.record.token, write.record.value) if done else None
         if done:
             self.stored = write.record.token
 
@@ -169,4 +169,4 @@
         """Note that the request failed: whether it was written is not known."""
         self.busy = False
         self.index = None
-        self.wrote = None
+        self.last_written = None
--- a/bitternbeam/fleet/rendezvous.py
+++ b/bitternbeam/fleet/rendezvous.py
@@ -28,7 +28,7 @@
     return None if best is None else best[1]
 
 
-def ranked(work: str, members: Iterable[str], count: int) -> list[str]:
+def highest_ranked(work: str, members: Iterable[str], count: int) -> list[str]:
     """Return the `count` members of highest score for `work`, best first (owner and its stand-bys)."""
     return sorted(members, key=lambda member: (-weight(member, work), member))[:count]
 
--- a/bitternbeam/fleet/retries.py
+++ b/bitternbeam/fleet/retries.py
@@ -16,11 +16,11 @@
 
 from typing import Protocol
 
-TURNED_MOST = 0.9  # of first attempts
-PARTS = 10  # of a window: what is older than it goes a tenth at a time
+MAX_REJECT_PROBABILITY = 0.9  # of first attempts
+WINDOW_PARTS = 10  # of a window: what is older than it goes a tenth at a time
 
 
-class Chance(Protocol):
+class RandomSource(Protocol):
     """A random source; random.Random is one."""
 
     def random(self) -> float:
@@ -28,24 +28,24 @@
         ...
 
 
-class Window:
+class SlidingWindow:
     """Counts over a sliding window, in tenths of it."""
 
     def __init__(self, window_us: int) -> None:
-        self.part_us = max(1, window_us // PARTS)
-        self.counts = [0.0] * PARTS
-        self.at = 0  # number of the newest part
+        self.part_us = max(1, window_us // WINDOW_PARTS)
+        self.counts = [0.0] * WINDOW_PARTS
+        self.newest_part = 0  # number of the newest part
 
     def _roll(self, now_us: int) -> None:
         part = now_us // self.part_us
-        for number in range(max(self.at + 1, part - PARTS + 1), part + 1):
-            self.counts[number % PARTS] = 0.0
-        self.at = max(self.at, part)
+        for number in range(max(self.newest_part + 1, part - WINDOW_PARTS + 1), part + 1):
+            self.counts[number % WINDOW_PARTS] = 0.0
+        self.newest_part = max(self.newest_part, part)
 
     def add(self, now_us: int, count: float = 1.0) -> None:
         """Count something."""
         self._roll(now_us)
-        self.counts[self.at % PARTS] += count
+        self.counts[self.newest_part % WINDOW_PARTS] += count
 
     def total(self, now_us: int) -> float:
         """Return the count over the window."""
@@ -58,7 +58,7 @@
 
     def __init__(self, fraction: float, window_us: int, floor_per_s: float) -> None:
         self.fraction, self.window_us, self.floor_per_s = fraction, window_us, floor_per_s
-        self.firsts, self.retries = Window(window_us), Window(window_us)
+        self.firsts, self.retries = SlidingWindow(window_us), SlidingWindow(window_us)
 
     def first(self, now_us: int) -> None:
         """Count a first attempt."""
@@ -76,17 +76,17 @@
 class Throttle:
     """Whether a first attempt is turned away before it is made."""
 
-    def __init__(self, window_us: int, accepts_factor: float, random: Chance) -> None:
+    def __init__(self, window_us: int, accepts_factor: float, random: RandomSource) -> None:
         self.accepts_factor, self.random = accepts_factor, random
-        self.requests, self.accepts = Window(window_us), Window(window_us)
+        self.requests, self.accepts = SlidingWindow(window_us), SlidingWindow(window_us)
 
     def probability(self, now_us: int) -> float:
         """Return the share of first attempts to turn away now."""
         requests = self.requests.total(now_us)
         turned = (requests - self.accepts_factor * self.accepts.total(now_us)) / (requests + 1)
-        return min(TURNED_MOST, max(0.0, turned))
+        return min(MAX_REJECT_PROBABILITY, max(0.0, turned))
 
-    def turns_away(self, now_us: int) -> bool:
+    def should_reject(self, now_us: int) -> bool:
         """Decide on one first attempt, and count it either way."""
         turned = self.random.random() < self.probability(now_us)
         self.requests.add(now_us)
@@ -97,7 +97,7 @@
         self.accepts.add(now_us)
 
 
-def backoff_us(attempt: int, base_us: int, most_us: int, random: Chance) -> int:
+def backoff_us(attempt: int, base_us: int, most_us: int, random: RandomSource) -> int:
     """Return how long to wait before attempt 1, 2, ...: anything up to the doubled bound."""
     bound_us = min(most_us, base_us << min(attempt, 30))
     return int(random.random() * bound_us)
--- a/bitternbeam/fleet/returns/admission_state.py
+++ b/bitternbeam/fleet/returns/admission_state.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from bitternbeam.fleet.retries import Chance
+from bitternbeam.fleet.retries import RandomSource
 from bitternbeam.fleet.returns.outcome import ReconnectBudget
 from bitternbeam.fleet.returns.planner import WindowPlanner
 from bitternbeam.fleet.returns.settings import ReconnectSettings
@@ -24,7 +24,13 @@
     """The pacing of one member; `now_us` is monotonic, `wall_ms` Unix time."""
 
     def __init__(
-        self, settings: ReconnectSettings, name: str, budget: ReconnectBudget, *, random: Chance, wall_ms: int
+        self,
+        settings: ReconnectSettings,
+        name: str,
+        budget: ReconnectBudget,
+        *,
+        random: RandomSource,
+        wall_ms: int,
     ) -> None:
         self.settings, self.name, self.budget, self.random = settings, name, budget, random
         self.standalone_settings = replace(
--- a/bitternbeam/fleet/verdicts/board.py
+++ b/bitternbeam/fleet/verdicts/board.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import Any
 
-from bitternbeam.fleet.record import SKEW_MS, Heard
+from bitternbeam.fleet.record import MAX_CLOCK_SKEW_MS, ReadResult
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.fleet.verdicts.kinds import KINDS
 from bitternbeam.fleet.verdicts.verdict import MAX_VERDICTS, Verdict, parse_verdicts
@@ -28,27 +28,27 @@
         self.rejected: dict[str, int] = {}
         self.sequence = 0
 
-    def add(self, verdict: Verdict, now_us: int, wall_ms: int) -> Heard:
+    def add(self, verdict: Verdict, now_us: int, wall_ms: int) -> ReadResult:
         """Take one verdict; what is turned down is counted."""
         known = KINDS.get(verdict.kind)
         if known is None or not 0 < verdict.duration_ms <= known.max_duration_ms:
-            return self._reject(Heard.MALFORMED)
-        if verdict.issued_ms > wall_ms + SKEW_MS:
-            return self._reject(Heard.FUTURE)
-        if wall_ms > verdict.issued_ms + known.max_duration_ms + SKEW_MS:
-            return self._reject(Heard.OLD)
+            return self._reject(ReadResult.MALFORMED)
+        if verdict.issued_ms > wall_ms + MAX_CLOCK_SKEW_MS:
+            return self._reject(ReadResult.FUTURE)
+        if wall_ms > verdict.issued_ms + known.max_duration_ms + MAX_CLOCK_SKEW_MS:
+            return self._reject(ReadResult.OLD)
         key = (verdict.kind, verdict.subject)
         had = self.entries.get(key)
         if had is not None and had[0] == verdict:
-            return Heard.SAME
+            return ReadResult.SAME
         if had is not None and verdict.precedence < had[0].precedence:
-            return self._reject(Heard.STALE)
-        left_ms = min(verdict.duration_ms, verdict.expires_ms + SKEW_MS - wall_ms)
-        drop_ms = verdict.issued_ms + known.max_duration_ms + SKEW_MS - wall_ms
+            return self._reject(ReadResult.STALE)
+        left_ms = min(verdict.duration_ms, verdict.expires_ms + MAX_CLOCK_SKEW_MS - wall_ms)
+        drop_ms = verdict.issued_ms + known.max_duration_ms + MAX_CLOCK_SKEW_MS - wall_ms
         self.entries[key] = (verdict, now_us + left_ms * 1000, now_us + drop_ms * 1000)
-        return Heard.NEW
+        return ReadResult.NEW
 
-    def _reject(self, why: Heard) -> Heard:
+    def _reject(self, why: ReadResult) -> ReadResult:
         self.rejected[str(why)] = self.rejected.get(str(why), 0) + 1
         return why
 
@@ -56,7 +56,7 @@
         """Take a kind's record; False, and counted, if it is of another form."""
         verdicts = parse_verdicts(value)
         if verdicts is None or value["kind"] != kind:
-            self._reject(Heard.MALFORMED)
+            self._reject(ReadResult.MALFORMED)
             return False
         self.note_record(kind, now_us)
         for one in verdicts:
@@ -116,7 +116,7 @@
         lasts_ms = KINDS[verdict.kind].max_duration_ms
         lasts_ms = lasts_ms if verdict.is_lift else min(verdict.duration_ms, lasts_ms)
         verdict = replace(verdict, sequence=self.sequence, duration_ms=lasts_ms)
-        return verdict if self.add(verdict, now_us, wall_ms) is Heard.NEW else None
+        return verdict if self.add(verdict, now_us, wall_ms) is ReadResult.NEW else None
 
     def highest_token(self, kind: str) -> Token | None:
         """Return the highest token among the kind's verdicts."""
--- a/bitternbeam/fleet/verdicts/bound.py
+++ b/bitternbeam/fleet/verdicts/bound.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bitternbeam.fleet.lease import DRIFT_PPM
-from bitternbeam.fleet.record import SKEW_MS
+from bitternbeam.fleet.record import MAX_CLOCK_SKEW_MS
 
 MAX_WATCH_RETRY_MS = 2_000  # a watch that failed asks again within
 
@@ -23,4 +23,4 @@
 
 def max_effect_ms(lasts_ms: int) -> int:
     """Return within what time of its pronouncing a verdict bars nobody any more, in any fault."""
-    return lasts_ms + SKEW_MS + lasts_ms * DRIFT_PPM // 1_000_000 + 1
+    return lasts_ms + MAX_CLOCK_SKEW_MS + lasts_ms * DRIFT_PPM // 1_000_000 + 1
--- a/bitternbeam/fleet/view.py
+++ b/bitternbeam/fleet/view.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from bitternbeam.fleet.ramp import Health, Told
+from bitternbeam.fleet.ramp import BookerHealth, Health
 
 READY, DRAINING = "ready", "draining"
 STATES = (READY, DRAINING)
-EMPTY = 6  # times gone_us, for which a directory must have been empty to be believed
+EMPTY_GRACE_MULTIPLE = 6  # times gone_us, for which a directory must have been empty to be believed
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         ]  # fmt: skip
 
 
-def server_of(row: Any) -> Server | None:
+def parse_server(row: Any) -> Server | None:
     """Read one row of a record; None where it is not one."""
     if not isinstance(row, list) or len(row) != 8:
         return None
@@ -63,14 +63,14 @@
     return {"servers": [one.row() for one in sorted(servers, key=lambda one: one.name)], "members": members}
 
 
-def servers_of(value: dict[str, Any]) -> dict[str, Server] | None:
+def parse_servers(value: dict[str, Any]) -> dict[str, Server] | None:
     """Read a view's servers by name; None where any row is not one: half a view is no view."""
     rows = value.get("servers")
     if not isinstance(rows, list):
         return None
     found: dict[str, Server] = {}
     for row in rows:
-        one = server_of(row)
+        one = parse_server(row)
         if one is None or one.name in found:
             return None
         found[one.name] = one
@@ -92,7 +92,7 @@
         self.listed = dict(servers)
         self.missing_us, self.empty_us, self.read = {}, None, False
 
-    def told(self, servers: Mapping[str, Server], now_us: int) -> None:
+    def update(self, servers: Mapping[str, Server], now_us: int) -> None:
         """Take one whole reply of the directory; only a reply lets go of what has been missing.
 
         Danger: time alone must not: a directory that is silent says of nothing that it has gone.
@@ -100,7 +100,7 @@
         if not servers and self.listed:
             if self.empty_us is None:
                 self.empty_us = now_us
-            if now_us - self.empty_us < EMPTY * self.gone_us:
+            if now_us - self.empty_us < EMPTY_GRACE_MULTIPLE * self.gone_us:
                 return  # an engine that starts anew must not take the whole pool away
         else:
             self.empty_us = None
@@ -115,7 +115,7 @@
                 del self.missing_us[name]
                 self.listed.pop(name, None)
 
-    def servers(self, probes: Mapping[str, Told]) -> list[Server]:
+    def servers(self, probes: Mapping[str, BookerHealth]) -> list[Server]:
         """Return the view: the directory's word, narrowed by what the probes say."""
         found = []
         for name, one in self.listed.items():
--- a/bitternbeam/lab/cold.py
+++ b/bitternbeam/lab/cold.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from bitternbeam.fleet.ramp import FIRST
+from bitternbeam.fleet.ramp import INITIAL_SHARE
 from bitternbeam.lab.loads import S, Series
 from bitternbeam.lab.overload import TERMS, Overload
 
@@ -41,7 +41,7 @@
     total = 0.0
     for step in range(STEPS + 1):
         begins, ends = step * STEP_US, (step + 1) * STEP_US if step < STEPS else to_us
-        total += rate * FIRST * 2**step * max(0, min(to_us, ends) - max(from_us, begins)) / S
+        total += rate * INITIAL_SHARE * 2**step * max(0, min(to_us, ends) - max(from_us, begins)) / S
     return total
 
 
@@ -61,13 +61,13 @@
     time.sleep(8)
     began = []
     for number in range(2, rounds + 2):
-        lab.order(lab.board, f"rate {booker} {lab.rate * FIRST}")
+        lab.order(lab.board, f"rate {booker} {lab.rate * INITIAL_SHARE}")
         lab.receiver(f"started {booker} {number}")
         at_us = lab.now_us()
         began.append(at_us)
         for step in range(1, STEPS + 1):
             time.sleep(max(0.0, (at_us + step * STEP_US - lab.now_us()) / S))
-            lab.order(lab.board, f"rate {booker} {lab.rate * FIRST * 2**step}")
+            lab.order(lab.board, f"rate {booker} {lab.rate * INITIAL_SHARE * 2**step}")
         time.sleep(5)  # the fleet's ramp ends, and its limit is found again
     lab.offer(0)
     time.sleep(0.5)
--- a/bitternbeam/wiring/fleet/bench.py
+++ b/bitternbeam/wiring/fleet/bench.py
@@ -8,7 +8,7 @@
 from bitternbeam.configuration.fleet import Fleet
 from bitternbeam.counters import Counters
 from bitternbeam.fleet.lease import LeaseTimes
-from bitternbeam.fleet.membership import Roster
+from bitternbeam.fleet.membership import Membership
 from bitternbeam.net.coordination import ConsulApi
 from bitternbeam.tables.deadlines import Deadlines
 
@@ -23,4 +23,4 @@
     fleet: Fleet
     times: LeaseTimes
     api: ConsulApi
-    roster: Roster
+    roster: Membership
--- a/bitternbeam/wiring/fleet/budget_work.py
+++ b/bitternbeam/wiring/fleet/budget_work.py
@@ -11,7 +11,7 @@
 from bitternbeam.fleet.budgets.grants import Granting
 from bitternbeam.fleet.budgets.holdings import Holdings
 from bitternbeam.fleet.budgets.terms import Budget, BudgetTerms, Tenant
-from bitternbeam.fleet.record import Heard, Publication, Write, parse_record
+from bitternbeam.fleet.record import Publication, ReadResult, Write, parse_record
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.net.coordination import KvEntry
 from bitternbeam.tables.deadlines import Deadline
@@ -118,13 +118,13 @@
             self.stands(*((record.modify_index, record.value) if record else (0, None)))
         if record is None:
             return
-        heard = self.follower.hear(record.value, now_us, now_us // 1000)
+        heard = self.follower.read(record.value, now_us, now_us // 1000)
         told = self.follower.record
-        if heard is Heard.NEW and told is not None:
-            self.claim.seen = max(self.claim.seen, told.token.number)
+        if heard is ReadResult.NEW and told is not None:
+            self.claim.highest_seen = max(self.claim.highest_seen, told.token.number)
             if not self.holdings.shown(told.token, told.value, now_us):
                 self.bench.counters.add("fleet.budgets.overtaken")
-        elif heard is not Heard.SAME:
+        elif heard is not ReadResult.SAME:
             self.bench.counters.add(f"fleet.records_{heard.value}")
 
     def stands(self, index: int, text: str | None) -> None:
--- a/bitternbeam/wiring/fleet/limit_work.py
+++ b/bitternbeam/wiring/fleet/limit_work.py
@@ -43,7 +43,7 @@
             self.limits.read_record(self.limit.name, record.value, now_us, now_us // 1000)
             heard = self.limits.readers[self.limit.name].follower.record
             if heard is not None:
-                self.claim.seen = max(self.claim.seen, heard.token.number)
+                self.claim.highest_seen = max(self.claim.highest_seen, heard.token.number)
 
     def stands(self, index: int, text: str | None) -> None:
         """Take what the engine holds."""
--- a/bitternbeam/wiring/fleet/load.py
+++ b/bitternbeam/wiring/fleet/load.py
@@ -12,7 +12,7 @@
 
 from bitternbeam.configuration.fleet import bound_terms
 from bitternbeam.fleet.bounds import Bounds
-from bitternbeam.fleet.pressure import report_of
+from bitternbeam.fleet.pressure import parse_report
 from bitternbeam.fleet.ramp import Health
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.extension import Extension
@@ -49,7 +49,7 @@
 
     def heard(self, parts: Mapping[str, dict[str, Any]], now_us: int) -> None:
         """Move the limits of the bookers owned here."""
-        reports = [report_of(part) for part in parts.values()]
+        reports = [parse_report(part) for part in parts.values()]
         if None in reports:
             self.bench.counters.add("fleet.reports_malformed")
         known = [one for one in reports if one is not None]
--- a/bitternbeam/wiring/fleet/member.py
+++ b/bitternbeam/wiring/fleet/member.py
@@ -18,7 +18,7 @@
 from bitternbeam.core.ports import TrafficLimiter
 from bitternbeam.counters import Counters
 from bitternbeam.fleet.claim import Phase, Step
-from bitternbeam.fleet.placement import wants
+from bitternbeam.fleet.placement import should_hold
 from bitternbeam.net.coordination import Reply, entries_of, members_of
 from bitternbeam.tables.deadlines import Deadline, Deadlines
 from bitternbeam.wiring.fleet.listing import Listing
@@ -138,7 +138,7 @@
         """Return each piece of work's phase and token, the members, and how the member stands."""
         now = self.deadlines.now_us()
         told: dict[str, Any] = {
-            "alone": self.presence.standing.alone,
+            "alone": self.presence.standing.is_isolated,
             "session": self.presence.session.id,
             "members": sorted(self.roster.present()),
             "share": round(1 / self.roster.size(now), 6),
@@ -166,7 +166,7 @@
         for one in self.extensions:
             one.tick(now)
         self.reports.tick(now)
-        if self.presence.standing.alone:
+        if self.presence.standing.is_isolated:
             for each in self.probes.values():
                 each.look(now, self.roster.size(now))
             if self.view and self.view.follower.fresh(now) is None:
@@ -174,11 +174,11 @@
 
     def _work(self, work: Work, now: int) -> None:
         claim = work.claim
-        wanted = wants(
+        wanted = should_hold(
             claim, work.lock, self.roster.place(work.name, now), work.aside_until_us > now, now
         )  # fmt: skip
         before = claim.phase
-        step = claim.step(now, self.presence.session, wanted)
+        step = claim.next_step(now, self.presence.session, wanted)
         if step is not None:
             self._run(work, step)
         if claim.phase is not before:
@@ -198,7 +198,7 @@
 
         def failed(failure: Any) -> None:
             self.presence.fault(failure)
-            work.claim.failed()
+            work.claim.request_failed()
 
         now = self.deadlines.now_us()
         made = carry(self.api, work.claim, step, self.presence.session, name=self.fleet.name, now_us=now)
@@ -207,7 +207,7 @@
     def _members(self, reply: Reply) -> None:
         self.presence.well()
         told = {one.name: one.aside for one in members_of(reply.body or [])}
-        if self.roster.told(told, self.deadlines.now_us()):
+        if self.roster.update(told, self.deadlines.now_us()):
             log.info("fleet: members %s", ",".join(sorted(self.roster.present())))
 
     def _leases(self, reply: Reply) -> None:
--- a/bitternbeam/wiring/fleet/presence.py
+++ b/bitternbeam/wiring/fleet/presence.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bitternbeam.fleet.lease import Session
-from bitternbeam.fleet.membership import Standing
+from bitternbeam.fleet.membership import EngineContact
 from bitternbeam.net.consul import BadReply
 from bitternbeam.net.coordination import Reply
 from bitternbeam.wiring.fleet.bench import Bench
@@ -28,7 +28,7 @@
         self.bench = bench
         now = bench.deadlines.now_us()
         self.session = Session(bench.times, now)
-        self.standing = Standing(bench.times.ttl_us, now)
+        self.standing = EngineContact(bench.times.ttl_us, now)
         self.asking: set[str] = set()  # session, renew, pass, register: one of each at a time
         self.not_before_us: dict[str, int] = {}  # those that failed wait
         self.passed_us = -(10**18)
@@ -45,7 +45,7 @@
             self.bench.api.destroy(before).addErrback(lambda _failure: None)
         if paused:
             log.info("fleet: %s was paused; leases are checked before acting", self.bench.fleet.name)
-            self.standing.woke(now)
+            self.standing.pause_ended(now)
         if self.standing.tick(now):
             log.warning(
                 "fleet: engine %s gave no good answer for a TTL; alone, at one part in %d",
@@ -55,13 +55,13 @@
 
     def asides(self, asides: frozenset[str], now: int) -> None:
         """Tell the others through the catalogue what this member stands aside from."""
-        if asides != self.bench.roster.asides and self.may_ask("register", now):
-            self.bench.roster.asides = asides
+        if asides != self.bench.roster.declined and self.may_ask("register", now):
+            self.bench.roster.declined = asides
             self.register()
 
     def register(self) -> None:
         """Register as an instance of the service, with a TTL check that the member passes."""
-        meta = {"aside": ",".join(sorted(self.bench.roster.asides))} if self.bench.roster.asides else {}
+        meta = {"aside": ",".join(sorted(self.bench.roster.declined))} if self.bench.roster.declined else {}
         fleet = self.bench.fleet
         self._ask("register", self.bench.api.register(fleet.service, fleet.name, fleet.ttl_ms, meta))
 
@@ -125,7 +125,7 @@
                 if reply.code != 404:
                     session.renewed(held, now)
                 elif session.id == held:
-                    session.lapsed()
+                    session.expire()
 
             self._ask("renew", self.bench.api.renew(held), renewed)
         if now >= self.passed_us + self.bench.times.renew_every_us and self.may_ask("pass", now):
--- a/bitternbeam/wiring/fleet/probe_work.py
+++ b/bitternbeam/wiring/fleet/probe_work.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from bitternbeam.fleet.bearing import Bearing
-from bitternbeam.fleet.pressure import Pressure, Report, pressure_of
-from bitternbeam.fleet.ramp import Health, Ramp, Told, told_of
+from bitternbeam.fleet.bearing import BookerLimit
+from bitternbeam.fleet.pressure import Pressure, Report, parse_pressure
+from bitternbeam.fleet.ramp import BookerHealth, Health, Ramp, parse_booker_health
 from bitternbeam.fleet.tokens import Token, parse_token
 from bitternbeam.net.probes import probe
 from bitternbeam.wiring.fleet.bench import Bench
@@ -31,16 +31,16 @@
         self.started_ms: int | None = None
         self.looked = Ramp(bench.fleet.ramp_step_ms * 1000)  # what this member alone saw, while it is alone
         self.under: Token | None = None
-        self.bearing = Bearing()
+        self.bearing = BookerLimit()
         self.pressure: Pressure | None = None  # as published last, here or elsewhere
 
     def heard(self, value: dict[str, Any]) -> None:
         """Keep what the owner published: a new owner goes on from there."""
-        told = told_of(value)
+        told = parse_booker_health(value)
         if told is None:
             self.bench.counters.add("fleet.records_malformed")
             return
-        pressure = pressure_of(value.get("pressure")) if "pressure" in value else None
+        pressure = parse_pressure(value.get("pressure")) if "pressure" in value else None
         if "pressure" in value and pressure is None:
             self.bench.counters.add("fleet.records_malformed")
         if self.claim.token is None:  # else it is this member's own word
@@ -57,19 +57,19 @@
         """
         if 2 * len(reports) < self.bench.roster.size(self.bench.deadlines.now_us()):
             return
-        self.bearing.step(reports, self.booker, bookers, self.ramp.told)
+        self.bearing.step(reports, self.booker, bookers, self.ramp.state)
         self._bound()
 
     def _bound(self) -> None:
-        self.pressure = self.bearing.pressure(self.ramp.told, self.pressure)
+        self.pressure = self.bearing.pressure(self.ramp.state, self.pressure)
 
-    def told(self) -> Told:
+    def told(self) -> BookerHealth:
         """Return the booker's state as last published, or as this member's own probes show it."""
-        return self.ramp.told
+        return self.ramp.state
 
     def value(self) -> dict[str, Any] | None:
         """Return the booker's state, and its pressure where loads are shared."""
-        told = self.ramp.told.value()
+        told = self.ramp.state.value()
         return (
             told | {"pressure": self.pressure.value()} if self.pressure and self.bench.fleet.bounds else told
         )
@@ -104,10 +104,10 @@
             return  # an answer to a probe of an ownership that is over
         self.lost_in_row = 0
         self._started(self.ramp, line, now)
-        told = self.ramp.probed(True, now, now // 1000)
+        told = self.ramp.probe_answered(True, now, now // 1000)
         self._bound()
         if told:
-            log.info("fleet: %s is %s at %g", self.booker, self.ramp.told.health, self.ramp.told.share)
+            log.info("fleet: %s is %s at %g", self.booker, self.ramp.state.health, self.ramp.state.share)
 
     def _started(self, ramp: Ramp, line: str, now: int) -> None:
         """Take a booker that tells a later start than before for replaced: it is cold."""
@@ -115,7 +115,7 @@
         if not told.isdigit() or len(told) > 15:
             return
         if self.started_ms is not None and int(told) > self.started_ms:
-            ramp.cold(now, now // 1000)
+            ramp.booker_replaced(now, now // 1000)
             self.bearing.replaced()
         self.started_ms = int(told)
 
@@ -125,17 +125,17 @@
             return
         now = self.bench.deadlines.now_us()
         self.lost_in_row += 1
-        known = self.ramp.told.health is Health.EJECTED
-        if not known and self.bench.roster.may_stand_aside(self.name):
+        known = self.ramp.state.health is Health.EJECTED
+        if not known and self.bench.roster.may_decline(self.name):
             # It may be this member that is cut off: another one tries before the fleet hears of it.
             if self.lost_in_row >= PROBES_LOST:
                 self.asides += 1
                 self.aside_until_us = now + self.bench.times.ttl_us * (2 << min(self.asides, 4))
                 log.info("fleet: %s can't be reached from here; another one tries", self.booker)
             return
-        if self.ramp.probed(False, now, now // 1000):
+        if self.ramp.probe_answered(False, now, now // 1000):
             self._bound()
-            log.warning("fleet: %s is %s", self.booker, self.ramp.told.health)
+            log.warning("fleet: %s is %s", self.booker, self.ramp.state.health)
 
     def look(self, now_us: int, size: int) -> None:
         """Alone: look after oneself, so seldom that a whole fleet of loners costs what one owner does."""
@@ -146,7 +146,7 @@
 
         def seen(good: bool) -> None:
             now = self.bench.deadlines.now_us()
-            self.looked.probed(good, now, now // 1000)
+            self.looked.probe_answered(good, now, now // 1000)
 
         sent = self._send(f"LOOK {self.booker} {self.bench.fleet.name}")
         sent.addCallbacks(lambda line: seen(line.startswith("OK")), lambda _failure: seen(False))
--- a/bitternbeam/wiring/fleet/reports.py
+++ b/bitternbeam/wiring/fleet/reports.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from bitternbeam.fleet.record import SKEW_MS
+from bitternbeam.fleet.record import MAX_CLOCK_SKEW_MS
 from bitternbeam.net.consul import BadReply
 from bitternbeam.net.coordination import Reply, entries_of
 from bitternbeam.wiring.fleet.bench import Bench
@@ -113,7 +113,7 @@
             at_ms = report.get("at_ms") if isinstance(report, dict) else None
             if type(at_ms) is not int:
                 self.bench.counters.add("fleet.reports_malformed")
-            elif at_ms > now_ms + SKEW_MS:
+            elif at_ms > now_ms + MAX_CLOCK_SKEW_MS:
                 self.bench.counters.add("fleet.reports_future")
             elif now_ms - at_ms <= FRESH * self.period_us // 1000:
                 found[key.removeprefix(self.prefix)] = report
--- a/bitternbeam/wiring/fleet/settings.py
+++ b/bitternbeam/wiring/fleet/settings.py
@@ -12,7 +12,7 @@
 from bitternbeam.configuration.versions import Versions
 from bitternbeam.core.calls import Offer
 from bitternbeam.counters import Counters
-from bitternbeam.fleet.membership import Damping, Roster
+from bitternbeam.fleet.membership import Damping, Membership
 from bitternbeam.fleet.rendezvous import weight
 from bitternbeam.net.coordination import ConsulApi
 from bitternbeam.tables.deadlines import Deadlines
@@ -42,7 +42,7 @@
         token=fleet.token,
         member=fleet.name,
     )
-    roster = Roster(fleet.name, Damping(times.settle_us, fleet.recent_ms * 1000), deadlines.now_us())
+    roster = Membership(fleet.name, Damping(times.settle_us, fleet.recent_ms * 1000), deadlines.now_us())
     return Bench(reactor, deadlines, counters, fleet, times, api, roster)
 
 
@@ -88,7 +88,7 @@
         # Before the limits: a return is told its time before a share is asked; its need goes out after its
         # report.
         seed = weight(fleet.name, "returns")
-        found.append(ReturnsExtension(bench, settings, budget, seed, lambda: presence.standing.alone))
+        found.append(ReturnsExtension(bench, settings, budget, seed, lambda: presence.standing.is_isolated))
     if bench.fleet.bounds:
         found.append(Load(bench, probes, weight(bench.fleet.name, "load")))
     if bench.fleet.budget:
--- a/bitternbeam/wiring/fleet/steps.py
+++ b/bitternbeam/wiring/fleet/steps.py
@@ -14,7 +14,7 @@
     held = session.id or ""
     if step is Step.ACQUIRE:
         made = api.kv_put(claim.key, name, acquire=held)
-        return made.addCallback(lambda reply: claim.acquired(reply.body is True, now_us))
+        return made.addCallback(lambda reply: claim.acquire_answered(reply.body is True, now_us))
     if step is Step.READ_COUNTER:
 
         def read(reply: Reply) -> None:
@@ -31,7 +31,7 @@
 
         def checked(reply: Reply) -> None:
             entry = entry_of(reply.body)
-            claim.checked(entry.session if entry else None, session)
+            claim.check_answered(entry.session if entry else None, session)
 
         return api.kv_get(claim.key).addCallback(checked)
     return api.kv_put(claim.key, "", release=held).addCallback(lambda _reply: claim.released())
--- a/bitternbeam/wiring/fleet/verdict_work.py
+++ b/bitternbeam/wiring/fleet/verdict_work.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from bitternbeam.fleet.record import Heard, parse_record
+from bitternbeam.fleet.record import ReadResult, parse_record
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.fleet.verdicts.board import VerdictBoard
 from bitternbeam.fleet.verdicts.detectors import Detection
@@ -70,8 +70,8 @@
         """Take what other members hold."""
         before = self.board.active_by_subject(self.kind, now_us)
         for one in verdicts:
-            if one.kind == self.kind and self.board.add(one, now_us, now_us // 1000) is Heard.NEW:
-                self.claim.seen = max(self.claim.seen, one.token.number)
+            if one.kind == self.kind and self.board.add(one, now_us, now_us // 1000) is ReadResult.NEW:
+                self.claim.highest_seen = max(self.claim.highest_seen, one.token.number)
         self._told(before, now_us)
 
     def act(self, token: Token, now_us: int) -> None:
--- a/bitternbeam/wiring/fleet/version_work.py
+++ b/bitternbeam/wiring/fleet/version_work.py
@@ -7,7 +7,7 @@
 
 from bitternbeam.configuration.life import Stage
 from bitternbeam.configuration.versions import Versions, content_of
-from bitternbeam.fleet.commit import Committed, committed_of, to_commit
+from bitternbeam.fleet.commit import Committed, parse_committed, version_to_publish
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.work import Work
 
@@ -35,11 +35,11 @@
         if good is None:
             return None
         back = {str(one.number) for one in self.versions.ended if one.stage is Stage.ROLLED_BACK}
-        return to_commit(good, self.committed, back).value()
+        return version_to_publish(good, self.committed, back).value()
 
     def heard(self, value: dict[str, Any]) -> None:
         """Note what the fleet committed, and say so once if this member runs something else."""
-        committed = committed_of(value)
+        committed = parse_committed(value)
         if committed is None:
             self.bench.counters.add("fleet.records_malformed")
             return
--- a/bitternbeam/wiring/fleet/view_work.py
+++ b/bitternbeam/wiring/fleet/view_work.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bitternbeam.fleet.tokens import Token
-from bitternbeam.fleet.view import Pool, Server, servers_of, view_value
+from bitternbeam.fleet.view import Pool, Server, parse_servers, view_value
 from bitternbeam.net.consul import instance_of
 from bitternbeam.net.coordination import Reply
 from bitternbeam.wiring.fleet.bench import Bench
@@ -29,7 +29,7 @@
 
     def heard(self, value: dict[str, Any]) -> None:
         """Follow the published view; half a view is no view."""
-        servers = servers_of(value)
+        servers = parse_servers(value)
         if servers is None:
             self.bench.counters.add("fleet.records_malformed")
             return
@@ -53,7 +53,7 @@
             self.asking = False
             self.index = reply.index if reply.index >= self.index else 0
             servers = self._servers(reply.body or [])
-            self.pool.told(servers, bench.deadlines.now_us())
+            self.pool.update(servers, bench.deadlines.now_us())
 
         def failed(_failure: Any) -> None:
             self.asking, self.index = False, 0
@@ -85,7 +85,7 @@
     def alone(self) -> None:
         """Without a fresh view: read the directory alone, and narrow it by what was looked at alone."""
         self.read()
-        looked = {name: work.looked.told for name, work in self.probes.items()}
+        looked = {name: work.looked.state for name, work in self.probes.items()}
         servers = {one.name: one for one in self.pool.servers(looked)}
         if servers:
             self.followed(servers)
--- a/bitternbeam/wiring/fleet/work.py
+++ b/bitternbeam/wiring/fleet/work.py
@@ -11,7 +11,7 @@
 
 from bitternbeam.fleet.claim import Claim
 from bitternbeam.fleet.placement import Lock
-from bitternbeam.fleet.record import Follower, Heard, Publication, Write
+from bitternbeam.fleet.record import Publication, ReadResult, RecordReader, Write
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.net.coordination import KvEntry, Reply, entry_of
 from bitternbeam.wiring.fleet.bench import Bench
@@ -28,7 +28,7 @@
         self.lock = Lock()
         self.key = f"{prefix}/record/{self.name}"
         age_us = bench.fleet.view_age_ms * 1000
-        self.follower = Follower(age_us)
+        self.follower = RecordReader(age_us)
         self.publication = Publication(age_us // 3)
         self.aside_until_us = 0
         self.asides = 0
@@ -38,7 +38,7 @@
         lock, counter = entries.get(self.claim.key), entries.get(f"{self.claim.key}/token")
         self.lock.observe(lock.session if lock else None, now_us)
         if counter and counter.value.isdigit() and len(counter.value) <= 18:
-            self.claim.seen = max(self.claim.seen, int(counter.value))
+            self.claim.highest_seen = max(self.claim.highest_seen, int(counter.value))
 
     def shown(self, entries: Mapping[str, KvEntry], now_us: int) -> None:
         """Take what the watch shows of the record."""
@@ -46,11 +46,11 @@
         if not self.publication.busy:
             self.stands(*((record.modify_index, record.value) if record else (0, None)))
         if record is not None:
-            heard = self.follower.hear(record.value, now_us, now_us // 1000)
-            if heard is Heard.NEW and self.follower.record is not None:
-                self.claim.seen = max(self.claim.seen, self.follower.record.token.number)
+            heard = self.follower.read(record.value, now_us, now_us // 1000)
+            if heard is ReadResult.NEW and self.follower.record is not None:
+                self.claim.highest_seen = max(self.claim.highest_seen, self.follower.record.token.number)
                 self.heard(self.follower.record.value)
-            elif heard is not Heard.SAME:
+            elif heard is not ReadResult.SAME:
                 self.bench.counters.add(f"fleet.records_{heard.value}")
 
     def heard(self, value: dict[str, Any]) -> None:
@@ -84,11 +84,11 @@
     def refused(self, highest: Token | None) -> None:
         """Note that a newer token stands in the way."""
         self.bench.counters.add("fleet.acts_refused")
-        self.claim.refused(highest)
+        self.claim.act_refused(highest)
 
     def stands(self, index: int, text: str | None) -> None:
         """Take what the engine holds of the record: its ModifyIndex and text, or (0, None)."""
-        self.publication.shown(index, text)
+        self.publication.record_read(index, text)
 
     def written(self, done: bool, write: Write) -> None:
         """Take the engine's answer to a write."""
--- a/tests/budget_fleet.py
+++ b/tests/budget_fleet.py
@@ -16,7 +16,7 @@
 from bitternbeam.fleet.budgets.slices import whole
 from bitternbeam.fleet.budgets.state import BudgetController
 from bitternbeam.fleet.budgets.terms import Budget, BudgetTerms, Kind, Tenant
-from bitternbeam.fleet.record import Follower, Publication, Write, parse_record
+from bitternbeam.fleet.record import Publication, RecordReader, Write, parse_record
 from bitternbeam.fleet.tokens import Token
 
 S = 1_000_000
@@ -50,7 +50,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.follower = Follower(1000 * S)
+        self.follower = RecordReader(1000 * S)
         self.held: dict[Pair, int] = {}
         self.counts: dict[Pair, list[int]] = {}  # refused, released, unused
         self.version = 0
@@ -64,7 +64,7 @@
 
     def hear(self, engine: Engine, now: int) -> None:
         if engine.text and not self.paused:
-            self.follower.hear(engine.text, now * S, now * 1000)
+            self.follower.read(engine.text, now * S, now * 1000)
             assert self.follower.record is not None
             self.version = self.follower.record.value["version"]
 
@@ -85,7 +85,7 @@
 
     def step(self) -> Write:
         fleet, now = self.fleet, self.fleet.now
-        self.publication.shown(fleet.engine.index, fleet.engine.text or None)
+        self.publication.record_read(fleet.engine.index, fleet.engine.text or None)
         last = parse_record(fleet.engine.text)
         granted = grants_of(last.value["grants"]) if last else {}
         self.keeper.configure("1", fleet.tenants, fleet.budgets)
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -73,9 +73,9 @@
             if alive:
                 session.renewed(session.id, now)
             else:
-                session.lapsed()
+                session.expire()
             return
-        step = one.claim.step(now, session, wanted=True)
+        step = one.claim.next_step(now, session, wanted=True)
         if step is not None:
             one.asked, one.asked_us = step, now
 
@@ -94,14 +94,14 @@
         if step is None:
             return
         if session_id is None or session_id not in engine.sessions:
-            claim.failed() if step is not Step.RELEASE else claim.released()
+            claim.request_failed() if step is not Step.RELEASE else claim.released()
             if step is Step.CHECK:
-                claim.checked(None, one.session)
+                claim.check_answered(None, one.session)
             if session_id is not None:
-                one.session.lapsed()
+                one.session.expire()
             return
         if step is Step.ACQUIRE:
-            claim.acquired(engine.put(KEY, one.name.encode(), {"acquire": session_id}, now), now)
+            claim.acquire_answered(engine.put(KEY, one.name.encode(), {"acquire": session_id}, now), now)
         elif step is Step.READ_COUNTER:
             _index, found = engine.read(KEY + "/token", False, now)
             claim.counter_read(
@@ -113,7 +113,7 @@
             claim.counter_written(done)
         elif step is Step.CHECK:
             _index, found = engine.read(KEY, False, now)
-            claim.checked(found[0].get("Session") if found else None, one.session)
+            claim.check_answered(found[0].get("Session") if found else None, one.session)
         elif step is Step.RELEASE:
             engine.put(KEY, b"", {"release": session_id}, now)
             claim.released()
@@ -135,7 +135,7 @@
             self.accepted.append((self.now_us, name, token))
         else:
             holder = self.processes[int(name[1:])]
-            holder.claim.refused(verdict.highest)
+            holder.claim.act_refused(verdict.highest)
 
     def believers(self) -> list[str]:
         """Return the processes that would act now."""
--- a/tests/limits_model.py
+++ b/tests/limits_model.py
@@ -93,8 +93,8 @@
         """Let a member do all that it would for its lease; what a cut link keeps from it has failed."""
         session, claim, now = one.session, one.claim, self.now_us
         if not self.whole(one):
-            if claim.step(one.now, session, wanted=wanted) is not None:
-                claim.failed()
+            if claim.next_step(one.now, session, wanted=wanted) is not None:
+                claim.request_failed()
             return
         if session.id is None:
             body = {
@@ -106,9 +106,9 @@
             if self.engine.renew(str(session.id), now):
                 session.renewed(str(session.id), one.now)
             else:
-                session.lapsed()
+                session.expire()
         for _round in range(4):
-            step = claim.step(one.now, session, wanted=wanted)
+            step = claim.next_step(one.now, session, wanted=wanted)
             if step is None:
                 return
             self._answer(one, step)
@@ -118,13 +118,13 @@
         session_id = str(one.session.id)
         if step is Step.CHECK:
             _index, found = engine.read(key, False, now)
-            claim.checked(found[0].get("Session") if found else None, one.session)
+            claim.check_answered(found[0].get("Session") if found else None, one.session)
         elif step is Step.RELEASE or session_id not in engine.sessions:
-            claim.released() if step is Step.RELEASE else claim.failed()
+            claim.released() if step is Step.RELEASE else claim.request_failed()
             if step is Step.RELEASE and session_id in engine.sessions:
                 engine.put(key, b"", {"release": session_id}, now)
         elif step is Step.ACQUIRE:
-            claim.acquired(engine.put(key, one.name.encode(), {"acquire": session_id}, now), one.now)
+            claim.acquire_answered(engine.put(key, one.name.encode(), {"acquire": session_id}, now), one.now)
         elif step is Step.READ_COUNTER:
             index, text = self.read(key + "/token")
             claim.counter_read(int(text or 0), index)
@@ -200,7 +200,7 @@
             else:
                 keeper.write_failed()
         elif write is not None:
-            one.claim.refused(write)
+            one.claim.act_refused(write)
 
     def use(self, one: Member, wanted: int, span_us: int = 0) -> int:
         """Let a member use what it wants within the span that ends now, as far as its limit lets it."""
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -1,8 +1,4 @@
-"""A fleet in simulated time whose bookers have a capacity: cores, modules and bounds as they run, no sockets.
-
-Bookers serve as the stand-ins do: one set-up after the other, those that would wait too long are turned away
-at a part of the work. Reports, records and probes come as late as the ticks and questions of the program.
-"""
+"""A fleet in simulated time: real cores, modules and bounds, bookers of limited capacity, no sockets."""
 
 from __future__ import annotations
 
@@ -17,10 +13,10 @@
 from bitternbeam.counters import Counters
 from bitternbeam.decision import interface as api
 from bitternbeam.decision.choice import Controller
-from bitternbeam.fleet.bearing import Bearing
-from bitternbeam.fleet.bounds import Bounds, Terms
+from bitternbeam.fleet.bearing import BookerLimit
+from bitternbeam.fleet.bounds import Bounds, BoundSettings
 from bitternbeam.fleet.pressure import Pressure, Report
-from bitternbeam.fleet.ramp import FIRST, Health, Ramp
+from bitternbeam.fleet.ramp import INITIAL_SHARE, Health, Ramp
 from bitternbeam.limits import Limits
 from bitternbeam.tables.deadlines import Deadlines
 from tests.inert_back import InertBack
@@ -97,13 +93,13 @@
 class Record:
     """What the owner of a booker publishes."""
 
-    bearing: Bearing = field(default_factory=Bearing)
+    bearing: BookerLimit = field(default_factory=BookerLimit)
     ramp: Ramp = field(default_factory=lambda: Ramp(STEP_US))
     pressure: Pressure | None = None
     started: int = 1
 
     def bound(self) -> None:
-        self.pressure = self.bearing.pressure(self.ramp.told, self.pressure)
+        self.pressure = self.bearing.pressure(self.ramp.state, self.pressure)
 
 
 class Member(InertBack):
@@ -123,7 +119,7 @@
         self.seen: dict[str, Pressure | None] = {}
         self.reported = Report(0, 0.0, {})
         if world.sharing:
-            terms = Terms(period_us=world.period_us)
+            terms = BoundSettings(period_us=world.period_us)
             self.bounds = self.core.limiter = Bounds(
                 terms, lambda: world.members, Random(world.random.randrange(1 << 30)), world.time.now
             )
@@ -163,7 +159,7 @@
 
     def take(self, name: str, pressure: Pressure) -> None:
         assert self.bounds is not None
-        cold = self.world.records[name].ramp.told.health is not Health.READY
+        cold = self.world.records[name].ramp.state.health is not Health.READY
         self.bounds.pressure(name, pressure, True, self.world.time.now, cold=cold)
 
     def leads(self) -> list[str]:
@@ -247,7 +243,7 @@
     def govern(self, booker: str) -> None:
         record = self.records[booker]
         reports = [one.reported for one in self.fleet if one.reported.at_ms]
-        record.bearing.step(reports, booker, self.bookers, record.ramp.told)
+        record.bearing.step(reports, booker, self.bookers, record.ramp.state)
         record.bound()
         limit = record.pressure.limit if record.pressure else None
         self.limits[booker].append((self.time.now, limit))
@@ -257,9 +253,9 @@
         record, now = self.records[booker], self.time.now
         if record.started != self.bookers[booker].started:
             record.started = self.bookers[booker].started
-            record.ramp.cold(now, now // 1000)
+            record.ramp.booker_replaced(now, now // 1000)
             record.bearing.replaced()
-        record.ramp.probed(True, now, now // 1000)
+        record.ramp.probe_answered(True, now, now // 1000)
         record.bound()
 
     def offer(self, load: float) -> None:
@@ -290,9 +286,11 @@
         """Replace a booker by a cold one; returns when."""
         one, now = self.bookers[booker], self.time.now
         one.started += 1
-        one.rate = self.rate * FIRST
+        one.rate = self.rate * INITIAL_SHARE
         for step in (1, 2, 3):
-            self.time.at(now + step * STEP_US, partial(setattr, one, "rate", self.rate * FIRST * 2**step))
+            self.time.at(
+                now + step * STEP_US, partial(setattr, one, "rate", self.rate * INITIAL_SHARE * 2**step)
+            )
         return now
 
     def run(self, seconds: float) -> None:
--- a/tests/test_budget_grants.py
+++ b/tests/test_budget_grants.py
@@ -20,7 +20,7 @@
 from bitternbeam.fleet.budgets.terms import Budget, BudgetTerms, Part, Tenant
 from bitternbeam.fleet.limits.need import Need
 from bitternbeam.fleet.limits.terms import LimitTimes
-from bitternbeam.fleet.record import RECORD_BYTES, Record
+from bitternbeam.fleet.record import MAX_RECORD_BYTES, Record
 from bitternbeam.fleet.tokens import Token
 
 S = 1_000_000
@@ -220,7 +220,7 @@
                 member.turned(one.name, everywhere)
         reports = {one.member: json.loads(json.dumps(one.report(now))) for one in members}
         record = Record(token, now // 1000, whole(owner.turn(reports, list(reports), now)))
-        assert len(record.text()) < RECORD_BYTES / 4
+        assert len(record.text()) < MAX_RECORD_BYTES / 4
         for member in members:
             member.shown(token, json.loads(record.text())["is"], now)
     assert sum(one.usable(now) for member in members for one in member.kept.values()) > 5_400  # of 6,000
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,8 +10,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from bitternbeam.fleet.claim import Claim, Phase, Step
-from bitternbeam.fleet.lease import LeaseTimes, Session, faults
-from bitternbeam.fleet.rendezvous import owned, owner, ranked
+from bitternbeam.fleet.lease import LeaseTimes, Session, find_faults
+from bitternbeam.fleet.rendezvous import highest_ranked, owned, owner
 from bitternbeam.fleet.tokens import Fence, Token, next_number, parse_token
 from standins.consul.engine import Engine
 from tests.fleet_model import KEY, TIMES, Model, interleaved
@@ -70,7 +70,7 @@
     for one in works:
         if before[one] != gone:
             assert after[one] == before[one]
-    assert ranked(works[0], members, 1) == [before[works[0]]]
+    assert highest_ranked(works[0], members, 1) == [before[works[0]]]
     assert sorted(w for m in members for w in owned(m, works, members)) == sorted(works)
 
 
@@ -92,12 +92,12 @@
     ],
 )
 def test_times_that_cannot_work_are_named(times: LeaseTimes, key: str) -> None:
-    assert key in [found for found, _what in faults(times)]
+    assert key in [found for found, _what in find_faults(times)]
 
 
 def test_the_default_times_and_the_models_work() -> None:
-    assert faults(LeaseTimes()) == []
-    assert faults(TIMES) == []
+    assert find_faults(LeaseTimes()) == []
+    assert find_faults(TIMES) == []
 
 
 def owner_after(model: Model, seconds: float, *, pausing: str | None = None) -> None:
@@ -161,10 +161,10 @@
     claim = Claim(KEY, "a", TIMES)
     session = Session(TIMES, 0)
     session.created("s", 0)
-    assert claim.step(0, session, wanted=True) is Step.ACQUIRE
-    claim.acquired(False, 0)
-    assert claim.step(TIMES.retry_us - 1, session, wanted=True) is None
-    assert claim.step(TIMES.retry_us, session, wanted=True) is Step.ACQUIRE
+    assert claim.next_step(0, session, wanted=True) is Step.ACQUIRE
+    claim.acquire_answered(False, 0)
+    assert claim.next_step(TIMES.retry_us - 1, session, wanted=True) is None
+    assert claim.next_step(TIMES.retry_us, session, wanted=True) is Step.ACQUIRE
 
 
 def test_work_that_is_no_longer_ours_is_released() -> None:
@@ -172,7 +172,7 @@
     owner_after(model, 1)
     one = model.processes[0]
     assert one.claim.phase is Phase.OWNER
-    assert one.claim.step(model.now_us, one.session, wanted=False) is Step.RELEASE
+    assert one.claim.next_step(model.now_us, one.session, wanted=False) is Step.RELEASE
 
 
 def test_a_session_the_engine_lost_is_not_trusted() -> None:
@@ -181,8 +181,8 @@
     session.created(engine.create_session({"TTL": "3s"}, 0), 0)
     engine.restart()
     assert not engine.renew(str(session.id), 1)
-    session.lapsed()
-    assert not session.sure(1)
+    session.expire()
+    assert not session.is_valid(1)
 
 
 class Lease(RuleBasedStateMachine):
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -11,16 +11,16 @@
 from hypothesis import strategies as st
 
 from bitternbeam.configuration.fleet import Fleet, lease_times
-from bitternbeam.fleet.bearing import Bearing
-from bitternbeam.fleet.bounds import Bounds, Terms
+from bitternbeam.fleet.bearing import BookerLimit
+from bitternbeam.fleet.bounds import Bounds, BoundSettings
 from bitternbeam.fleet.pressure import Pressure, Report, Traffic
-from bitternbeam.fleet.ramp import Health, Told
+from bitternbeam.fleet.ramp import BookerHealth, Health
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.wiring.fleet.load import Load
 from bitternbeam.wiring.fleet.probe_work import ProbeWork
 
 S = 1_000_000
-READY, COLD = Told(), Told(Health.RAMPING, 0.125)
+READY, COLD = BookerHealth(), BookerHealth(Health.RAMPING, 0.125)
 NAMES = ("b", "c")
 
 
@@ -28,10 +28,10 @@
     return [Report(0, 100.0, {"b": Traffic(sent, took, sent - took), "c": Traffic(40.0, 40.0)})]
 
 
-def warm(demand: float = 60.0, capacity: float = 40.0) -> Bearing:
-    one = Bearing()
+def warm(demand: float = 60.0, capacity: float = 40.0) -> BookerLimit:
+    one = BookerLimit()
     for _ in range(20):
-        sent = min(demand, one.governor.limit or demand)
+        sent = min(demand, one.controller.limit or demand)
         one.step(reported(sent, min(sent, capacity)), "b", NAMES, READY)
     return one
 
@@ -42,7 +42,7 @@
 def test_members_that_saved_up_sends_begin_at_a_cold_bookers_rate(
     members: int, before: float | None, seed: int
 ) -> None:
-    fleet = [Bounds(Terms(), lambda: members, Random(seed * 100 + one), 0) for one in range(members)]
+    fleet = [Bounds(BoundSettings(), lambda: members, Random(seed * 100 + one), 0) for one in range(members)]
     for one in fleet:
         one.pressure("b", Pressure(before, 0.0, members, False), True, 0)
         one.pressure("b", Pressure(5.0, 0.0, members, False), True, 10 * S)
@@ -65,7 +65,7 @@
     members: int, idle_s: int, seed: int
 ) -> None:
     # Each would have one send saved up, however small its share: 40 for what bears 5 a second.
-    fleet = [Bounds(Terms(), lambda: members, Random(seed * 100 + one), 0) for one in range(members)]
+    fleet = [Bounds(BoundSettings(), lambda: members, Random(seed * 100 + one), 0) for one in range(members)]
     cold = Pressure(5.0, 0.0, members, False)
     for one in fleet:
         one.pressure("b", cold, True, 0, cold=True)
@@ -91,14 +91,14 @@
 ) -> None:
     # Set against the demand of a period before, the calls of now gave each member all of the limit.
     size = len(offers)
-    fleet = [Bounds(Terms(), lambda: size, Random(one), 0) for one in range(size)]
+    fleet = [Bounds(BoundSettings(), lambda: size, Random(one), 0) for one in range(size)]
     published = None
     for period in (1, 2):
         for one, calls in zip(fleet, offers, strict=True):
             one.offers = calls[period - 1]
         reports = [one.report(period * S + 1_000 * number) for number, one in enumerate(fleet)]
         if published is None:
-            owner = Bearing()
+            owner = BookerLimit()
             owner.step(reports, "b", NAMES, READY)
             published = owner.pressure(READY, None)
     assert published is not None
@@ -114,13 +114,13 @@
     one = warm()
     published = one.pressure(READY, None)
     assert published is not None and 36 <= (published.limit or 0) <= 44
-    held = one.pressure(Told(health, share), published)
-    assert held is not None and held.limit == pytest.approx(max(1.0, share * one.governor.bore))
+    held = one.pressure(BookerHealth(health, share), published)
+    assert held is not None and held.limit == pytest.approx(max(1.0, share * one.controller.capacity))
     assert one.pressure(READY, held) == published  # and goes with it
 
 
 def test_one_never_pressed_is_held_too_and_one_that_nothing_is_known_of_is_not() -> None:
-    one = Bearing()
+    one = BookerLimit()
     assert one.pressure(COLD, None) is None
     one.step(reported(30.0, 30.0), "b", NAMES, READY)
     held = one.pressure(COLD, None)
@@ -146,14 +146,14 @@
     one = warm()
     for _ in range(3):
         one.step(reported(15.0, 5.0), "b", NAMES, COLD)
-    one.step(reported(12.0 + turned_away, 12.0), "b", NAMES, Told(Health.RAMPING, 0.5))
+    one.step(reported(12.0 + turned_away, 12.0), "b", NAMES, BookerHealth(Health.RAMPING, 0.5))
     one.step(reported(10.0, 10.0), "b", NAMES, READY)  # members have not heard so
     held = one.pressure(READY, None)
     assert held is not None and least <= (held.limit or 0.0) <= most
 
 
 def test_a_new_owner_goes_on_with_what_was_published() -> None:
-    one = Bearing()
+    one = BookerLimit()
     one.step(reported(60.0, 40.0), "b", NAMES, READY)
     one.resume(Pressure(5.0, 100.0, 4, False))
     held = one.pressure(COLD, Pressure(5.0, 100.0, 4, False))
@@ -162,13 +162,13 @@
 
 def test_a_cold_bookers_new_owner_goes_on_with_what_it_bears() -> None:
     # Found in the laboratory: it took the cold limit for that, and the whole ramp stayed at an eighth.
-    before, after = warm(), Bearing()
+    before, after = warm(), BookerLimit()
     held = before.pressure(COLD, None)
     assert held is not None
     after.resume(held)
-    assert after.governor.bore == pytest.approx(before.governor.bore)
-    after.step(reported(5.0, 5.0), "b", NAMES, Told(Health.RAMPING, 0.25))
-    then = after.pressure(Told(Health.RAMPING, 0.25), held)
+    assert after.controller.capacity == pytest.approx(before.controller.capacity)
+    after.step(reported(5.0, 5.0), "b", NAMES, BookerHealth(Health.RAMPING, 0.25))
+    then = after.pressure(BookerHealth(Health.RAMPING, 0.25), held)
     assert then is not None and 9 <= (then.limit or 0) <= 11
 
 
--- a/tests/test_fleet_cuts.py
+++ b/tests/test_fleet_cuts.py
@@ -11,8 +11,8 @@
 from bitternbeam.counters import Counters
 from bitternbeam.fleet.claim import Claim, Step
 from bitternbeam.fleet.lease import Session
-from bitternbeam.fleet.membership import Damping, Roster
-from bitternbeam.fleet.placement import Lock, wants
+from bitternbeam.fleet.membership import Damping, Membership
+from bitternbeam.fleet.placement import Lock, should_hold
 from bitternbeam.net.coordination import Reply
 from bitternbeam.wiring.fleet.bench import Bench
 from bitternbeam.wiring.fleet.presence import Presence
@@ -65,18 +65,18 @@
     now = 60_000_000 + times.lock_delay_us + times.grace_us
     claim, session = Claim(KEY, "m1", times), Session(times, now)
     session.created("s1", now)
-    assert claim.step(now, session, wants(claim, lock, 1, False, now)) is Step.ACQUIRE
-    claim.failed()  # no answer came
-    assert claim.step(now, session, wants(claim, lock, 1, False, now)) is Step.CHECK
-    claim.checked("s1", session)
-    assert claim.step(now, session, wants(claim, lock, 1, False, now)) is Step.READ_COUNTER
+    assert claim.next_step(now, session, should_hold(claim, lock, 1, False, now)) is Step.ACQUIRE
+    claim.request_failed()  # no answer came
+    assert claim.next_step(now, session, should_hold(claim, lock, 1, False, now)) is Step.CHECK
+    claim.check_answered("s1", session)
+    assert claim.next_step(now, session, should_hold(claim, lock, 1, False, now)) is Step.READ_COUNTER
 
 
 def test_what_is_held_is_free_a_ttl_after_the_engine_was_heard_last() -> None:
     # Heard by the engine to the end of its own TTL, it kept its locks from all for two.
     api, times = Api(), lease_times(FLEET)
     deadlines: Any = type("Clock", (), {"now_us": lambda _self: api.now})()
-    roster = Roster("m1", Damping(times.settle_us, FLEET.recent_ms * 1000), 0)
+    roster = Membership("m1", Damping(times.settle_us, FLEET.recent_ms * 1000), 0)
     bench = Bench(None, deadlines, Counters(), FLEET, times, api, roster)  # type: ignore[arg-type]
     presence = Presence(bench)
     while api.now < 1_000_000:
@@ -89,7 +89,7 @@
         api.advance()
         presence.tick(api.now)
         assert api.now < cut_us + 10_000_000
-    assert not presence.session.sure(api.now)
+    assert not presence.session.is_valid(api.now)
     assert api.now - cut_us <= times.ttl_us + TICK_US
     assert not api.engine.put(KEY, b"m2", {"acquire": api.engine.create_session({}, api.now)}, api.now)
 
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -8,9 +8,9 @@
 
 from bitternbeam.fleet.claim import Claim, Phase
 from bitternbeam.fleet.lease import LeaseTimes, Session
-from bitternbeam.fleet.membership import Damping, Roster, Standing
-from bitternbeam.fleet.placement import Lock, wants
-from bitternbeam.fleet.record import Follower, Heard, Publication, Record, Write, parse_record
+from bitternbeam.fleet.membership import Damping, EngineContact, Membership
+from bitternbeam.fleet.placement import Lock, should_hold
+from bitternbeam.fleet.record import Publication, ReadResult, Record, RecordReader, Write, parse_record
 from bitternbeam.fleet.tokens import Token
 
 S = 1_000_000
@@ -18,23 +18,23 @@
 NONE: frozenset[str] = frozenset()
 
 
-def roster(**members: str) -> Roster:
-    one = Roster("me", Damping(settle_us=4 * S, recent_us=60 * S), 0)
-    one.told({"me": NONE} | {name: frozenset(text.split()) for name, text in members.items()}, 0)
+def roster(**members: str) -> Membership:
+    one = Membership("me", Damping(settle_us=4 * S, recent_us=60 * S), 0)
+    one.update({"me": NONE} | {name: frozenset(text.split()) for name, text in members.items()}, 0)
     return one
 
 
-def told(one: Roster, now_us: int, *names: str) -> None:
-    one.told(dict.fromkeys(names, NONE), now_us)
+def told(one: Membership, now_us: int, *names: str) -> None:
+    one.update(dict.fromkeys(names, NONE), now_us)
 
 
 def test_a_member_that_comes_counts_after_it_settled_and_one_that_leaves_at_once_no_more() -> None:
     one = roster(a="")
     told(one, S, "me", "a", "b")
-    assert one.steady(S) == ["a", "me"]
-    assert one.steady(5 * S) == ["a", "b", "me"]
+    assert one.stable(S) == ["a", "me"]
+    assert one.stable(5 * S) == ["a", "b", "me"]
     told(one, 5 * S, "me", "b")
-    assert one.steady(5 * S) == ["b", "me"]
+    assert one.stable(5 * S) == ["b", "me"]
 
 
 def test_a_member_that_flaps_settles_longer_each_time_up_to_a_bound() -> None:
@@ -45,7 +45,7 @@
         now += S
         told(one, now, "me", "a")
         began = now
-        while "a" not in one.steady(now):
+        while "a" not in one.stable(now):
             now += S // 2
         waits.append((now - began) // S)
     assert waits == [8, 16, 32, 32, 32, 32]
@@ -55,7 +55,7 @@
     one = roster(a="")
     told(one, 0, "me")
     told(one, 61 * S, "me", "a")
-    assert "a" in one.steady(65 * S)
+    assert "a" in one.stable(65 * S)
 
 
 def test_shares_assume_the_largest_fleet_seen_lately() -> None:
@@ -70,7 +70,7 @@
 @settings(deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 3 * S), st.sets(st.sampled_from("abcdefgh"))), max_size=30))
 def test_the_size_is_never_below_what_was_told_within_the_window(steps: list[tuple[int, set[str]]]) -> None:
-    one = Roster("me", Damping(settle_us=S, recent_us=5 * S), 0)
+    one = Membership("me", Damping(settle_us=S, recent_us=5 * S), 0)
     now, seen = 0, [(0, 1)]
     for wait, names in steps:
         now += wait
@@ -85,10 +85,10 @@
     first = line[0]
     asides = {name: "probe/b1" if name == first else "" for name in ("a", "b")}
     one = roster(**asides)
-    one.asides = frozenset({"probe/b1"}) if first == "me" else NONE
+    one.declined = frozenset({"probe/b1"}) if first == "me" else NONE
     assert one.order("probe/b1", 0) == [*line[1:], first]
     everyone = roster(a="probe/b1", b="probe/b1")
-    everyone.asides = frozenset({"probe/b1"})
+    everyone.declined = frozenset({"probe/b1"})
     assert everyone.order("probe/b1", 0) == line
 
 
@@ -103,17 +103,17 @@
     ],
 )
 def test_who_may_stand_aside(others: dict[str, str], may: bool) -> None:
-    assert roster(**others).may_stand_aside("probe/b1") is may
+    assert roster(**others).may_decline("probe/b1") is may
 
 
 def test_a_member_is_alone_after_a_ttl_without_a_good_answer_but_not_for_its_own_pause() -> None:
-    one = Standing(2 * S, 0)
+    one = EngineContact(2 * S, 0)
     assert not one.tick(2 * S - 1)
-    one.woke(100 * S)
+    one.pause_ended(100 * S)
     assert not one.tick(101 * S)
-    assert one.tick(102 * S) and one.alone
+    assert one.tick(102 * S) and one.is_isolated
     assert not one.tick(103 * S)  # it is said once
-    assert one.answered(104 * S) and not one.alone
+    assert one.answered(104 * S) and not one.is_isolated
     assert not one.answered(104 * S)
 
 
@@ -150,13 +150,13 @@
     phase: Phase, free: int | None, line: tuple[int, bool], now_us: int, wanted: bool
 ) -> None:
     place, aside = line
-    assert wants(claim(phase), lock(free), place, aside, now_us) is wanted
+    assert should_hold(claim(phase), lock(free), place, aside, now_us) is wanted
 
 
 def test_a_lock_that_was_never_seen_or_is_no_longer_known_is_not_wanted() -> None:
     one = lock(0)
     one.forget()
-    assert not wants(claim(Phase.FOLLOWING), one, 0, False, 99 * S)
+    assert not should_hold(claim(Phase.FOLLOWING), one, 0, False, 99 * S)
     one.observe(None, 5 * S)
     assert one.free_since_us == 5 * S
     one.observe(None, 9 * S)
@@ -166,10 +166,10 @@
 def test_a_session_that_renews_is_sure_until_its_margin() -> None:
     session = Session(TIMES, 0)
     session.created("s", 0)
-    session.tick(TIMES.sure_us - 1)
-    session.last_tick_us = TIMES.sure_us - 1
-    session.woke_us = None
-    assert session.sure(TIMES.sure_us - 1) and not session.sure(TIMES.sure_us)
+    session.tick(TIMES.safe_us - 1)
+    session.last_tick_us = TIMES.safe_us - 1
+    session.pause_ended_us = None
+    assert session.is_valid(TIMES.safe_us - 1) and not session.is_valid(TIMES.safe_us)
 
 
 # Records.
@@ -189,44 +189,44 @@
     ],
 )  # fmt: skip
 def test_what_is_no_record_is_counted_and_changes_nothing(text: str) -> None:
-    follower = Follower(10 * S)
-    assert follower.hear(record(5, x=1).text(), 0, 0) is Heard.NEW
-    assert follower.hear(text, S, 1000) is Heard.MALFORMED
-    assert follower.refused == {Heard.MALFORMED: 1}
+    follower = RecordReader(10 * S)
+    assert follower.read(record(5, x=1).text(), 0, 0) is ReadResult.NEW
+    assert follower.read(text, S, 1000) is ReadResult.MALFORMED
+    assert follower.refused == {ReadResult.MALFORMED: 1}
     assert follower.fresh(S) == record(5, x=1)
 
 
 @pytest.mark.parametrize(
     ("second", "heard"),
     [
-        (record(5, x=1), Heard.SAME),
-        (record(5, x=2), Heard.NEW),
-        (record(6, "b", x=2), Heard.NEW),
-        (record(5, "b", x=2), Heard.STALE),  # the same number from another holder
-        (record(4, "b", x=2), Heard.STALE),
-        (record(9, "b", at_ms=2_001, x=2), Heard.FUTURE),
+        (record(5, x=1), ReadResult.SAME),
+        (record(5, x=2), ReadResult.NEW),
+        (record(6, "b", x=2), ReadResult.NEW),
+        (record(5, "b", x=2), ReadResult.STALE),  # the same number from another holder
+        (record(4, "b", x=2), ReadResult.STALE),
+        (record(9, "b", at_ms=2_001, x=2), ReadResult.FUTURE),
     ],
 )
-def test_a_reader_believes_only_the_highest_token_of_its_time(second: Record, heard: Heard) -> None:
-    follower = Follower(10 * S)
-    follower.hear(record(5, x=1).text(), 0, 0)
-    assert follower.hear(second.text(), 0, 0) is heard
+def test_a_reader_believes_only_the_highest_token_of_its_time(second: Record, heard: ReadResult) -> None:
+    follower = RecordReader(10 * S)
+    follower.read(record(5, x=1).text(), 0, 0)
+    assert follower.read(second.text(), 0, 0) is heard
     believed = follower.fresh(0)
-    assert believed == (second if heard in (Heard.NEW, Heard.SAME) else record(5, x=1))
+    assert believed == (second if heard in (ReadResult.NEW, ReadResult.SAME) else record(5, x=1))
 
 
 def test_a_record_lapses_by_the_readers_clock_and_an_old_one_is_never_taken() -> None:
-    follower = Follower(10 * S)
-    follower.hear(record(5, at_ms=1_000_000).text(), 0, 1_000_000)
+    follower = RecordReader(10 * S)
+    follower.read(record(5, at_ms=1_000_000).text(), 0, 1_000_000)
     assert follower.fresh(10 * S) and follower.fresh(10 * S + 1) is None
-    assert follower.hear(record(6, at_ms=1_000_000).text(), 0, 1_012_001) is Heard.OLD
+    assert follower.read(record(6, at_ms=1_000_000).text(), 0, 1_012_001) is ReadResult.OLD
 
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.sampled_from("abc"), st.integers(0, 3)), max_size=40))
 def test_a_reader_never_goes_back_to_a_lower_token(said: list[tuple[int, str, int]]) -> None:
-    follower, last = Follower(10 * S), Token(0, "")
+    follower, last = RecordReader(10 * S), Token(0, "")
     for number, holder, value in said:
-        follower.hear(record(number, holder, value=value).text(), 0, 0)
+        follower.read(record(number, holder, value=value).text(), 0, 0)
         assert follower.record is not None
         token = follower.record.token
         assert token.number > last.number or token == last
@@ -237,19 +237,19 @@
     writer, mine = Publication(refresh_us=S), Token(7, "me")
     assert writer.due(mine, {"x": 1}, 0)
     assert writer.write(mine, {"x": 1}, 0, 0) is None  # not looked yet
-    writer.shown(41, record(6, "b").text())
+    writer.record_read(41, record(6, "b").text())
     write = writer.write(mine, {"x": 1}, 0, 0)
     assert isinstance(write, Write) and write.cas == 41
     assert not writer.due(mine, {"x": 2}, 0)  # one at a time
     writer.written(False, write)
     assert writer.due(mine, {"x": 1}, 1) and writer.write(mine, {"x": 1}, 1, 0) is None
-    writer.shown(45, record(8, "c").text())
+    writer.record_read(45, record(8, "c").text())
     assert writer.write(mine, {"x": 1}, 2, 0) == Token(8, "c")  # barred
 
 
 def test_a_new_owner_writes_at_once_and_then_for_changes_and_refreshes_alone() -> None:
     writer, mine = Publication(refresh_us=S), Token(7, "me")
-    writer.shown(0, None)
+    writer.record_read(0, None)
     write = writer.write(mine, {"x": 1}, 0, 0)
     assert isinstance(write, Write) and write.cas == 0
     writer.written(True, write)
--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -12,18 +12,18 @@
 from bitternbeam.core.calls import Attempt, AttemptEnd, Offer
 from bitternbeam.core.control import CallControl
 from bitternbeam.decision import interface as api
-from bitternbeam.fleet.bounds import Bounds, Terms
+from bitternbeam.fleet.bounds import Bounds, BoundSettings
 from bitternbeam.fleet.pressure import (
-    Governor,
+    LimitController,
     Pressure,
     Report,
     Traffic,
     cold_limit,
-    pressure_of,
-    report_of,
-    total,
+    parse_pressure,
+    parse_report,
+    sum_reports,
 )
-from bitternbeam.fleet.retries import RetryBudget, Throttle, Window, backoff_us
+from bitternbeam.fleet.retries import RetryBudget, SlidingWindow, Throttle, backoff_us
 from bitternbeam.limits import Limits
 from tests.inert_back import InertBack
 from tests.loop import parts
@@ -66,7 +66,7 @@
 
 
 def test_a_window_forgets_by_tenths() -> None:
-    window = Window(10 * S)
+    window = SlidingWindow(10 * S)
     for second in range(10):
         window.add(second * S)
     assert [window.total((10 + second) * S) for second in range(3)] == [9, 8, 7]
@@ -88,11 +88,11 @@
     throttle, now, passed = Throttle(2 * S, 2.0, Random(7)), 0, 0
     for _ in range(2_000):  # 20 s at 100 a second, all unanswered
         now += S // 100
-        passed += not throttle.turns_away(now)
+        passed += not throttle.should_reject(now)
     assert 150 <= passed <= 300  # not a storm, and not never
     for _ in range(1_000):
         now += S // 100
-        if not throttle.turns_away(now):
+        if not throttle.should_reject(now):
             throttle.accepted(now)
     assert throttle.probability(now) == 0
 
@@ -106,7 +106,7 @@
 # The fleet's limit.
 
 
-def play(governor: Governor, demand: float, capacity: float, periods: int) -> list[float]:
+def play(governor: LimitController, demand: float, capacity: float, periods: int) -> list[float]:
     """Let the fleet send as much as it may; return the load over the capacity, period by period."""
     loads = []
     for _ in range(periods):
@@ -118,13 +118,13 @@
 
 
 def test_a_flood_is_brought_to_the_capacity_within_a_period_and_stays_there() -> None:
-    loads = play(Governor(), demand=300.0, capacity=100.0, periods=60)
+    loads = play(LimitController(), demand=300.0, capacity=100.0, periods=60)
     assert loads[0] == 3.0
     assert max(loads[1:]) <= 1.1 and min(loads[1:]) >= 0.9
 
 
 def test_a_halved_capacity_is_followed_down_and_up_again() -> None:
-    governor = Governor()
+    governor = LimitController()
     play(governor, 300.0, 100.0, 20)
     halved = play(governor, 300.0, 50.0, 20)
     assert max(halved[2:]) <= 1.1 and min(halved) >= 0.85
@@ -134,7 +134,7 @@
 
 
 def test_a_booker_that_stalls_costs_little_and_is_taken_back_within_ten_periods() -> None:
-    governor = Governor()
+    governor = LimitController()
     play(governor, 300.0, 100.0, 20)
     for _ in range(20):
         sent = governor.limit or 300.0
@@ -146,7 +146,7 @@
 
 def test_what_a_booker_bears_after_its_capacity_came_back_is_remembered_through_a_stall() -> None:
     # Found in the laboratory: it was remembered as half, and the way back after a stall took 11 s.
-    governor = Governor()
+    governor = LimitController()
     for capacity in (100.0, 50.0, 100.0):
         play(governor, 300.0, capacity, 25)
     for _ in range(20):
@@ -158,18 +158,18 @@
 
 @pytest.mark.parametrize("refused", [0.0, 20.0])
 def test_reports_of_two_periods_that_come_in_one_do_not_raise_what_a_booker_bore(refused: float) -> None:
-    governor = Governor()
+    governor = LimitController()
     play(governor, 300.0, 100.0, 20)
     for accepted in (0.0, 190.0):  # a member's report came late, and with the next one
         governor.step(Traffic(accepted + refused, accepted, refused, 0.0))
-    assert governor.bore <= 110
-    assert cold_limit(0.125, governor.bore, []) <= 0.125 * 110
+    assert governor.capacity <= 110
+    assert cold_limit(0.125, governor.capacity, []) <= 0.125 * 110
 
 
 def test_a_late_call_where_little_was_sent_does_not_pass_for_what_a_booker_bears() -> None:
     # Found in the laboratory: members stood still for half a second, and three periods took the limit from 50
     # to 8.5, and what it bore with it; the way back at 3 to 5.5 % a period took 20 s.
-    governor = Governor()
+    governor = LimitController()
     play(governor, 300.0, 40.0, 20)
     governor.limit = 50.0  # it was not used up: the load was at 1.2
     for sent, accepted, late in ((15.4, 17.1, 2.1), (3.7, 5.8, 5.7), (24.6, 24.6, 0.0)):
@@ -179,7 +179,7 @@
 
 
 def test_without_pressure_there_is_no_limit_and_one_hardly_used_goes() -> None:
-    governor = Governor()
+    governor = LimitController()
     play(governor, 50.0, 100.0, 100)
     assert governor.limit is None
     play(governor, 300.0, 100.0, 3)
@@ -189,7 +189,7 @@
 
 
 def test_a_new_owner_goes_on_with_the_published_limit() -> None:
-    governor = Governor()
+    governor = LimitController()
     governor.resume(Pressure(80.0, 100.0, 4, False))
     assert play(governor, 300.0, 100.0, 2)[0] == 0.8
 
@@ -251,9 +251,9 @@
     ],
 )  # fmt: skip
 def test_what_is_no_pressure_is_none(value: object) -> None:
-    assert pressure_of(value) is None
+    assert parse_pressure(value) is None
     one = Pressure(4.5, 9.0, 3, True)
-    assert pressure_of(json.loads(json.dumps(one.value()))) == one
+    assert parse_pressure(json.loads(json.dumps(one.value()))) == one
 
 
 @pytest.mark.parametrize(
@@ -266,18 +266,18 @@
     ],
 )  # fmt: skip
 def test_what_is_no_report_is_none(value: object) -> None:
-    assert report_of(value) is None
+    assert parse_report(value) is None
     one = Report(5, 2.0, {"b": Traffic(1, 2, 3, 4)})
-    assert report_of(json.loads(json.dumps(one.value()))) == one
-    assert total([one, one], "b") == (Traffic(2, 4, 6, 8), 4.0)
-    assert total([one], "other") == (Traffic(), 2.0)
+    assert parse_report(json.loads(json.dumps(one.value()))) == one
+    assert sum_reports([one, one], "b") == (Traffic(2, 4, 6, 8), 4.0)
+    assert sum_reports([one], "other") == (Traffic(), 2.0)
 
 
 # One controller's bounds, and the core that asks them.
 
 
 def bounds(**terms: float) -> Bounds:
-    return Bounds(Terms(**terms), lambda: 4, Random(1), 0)  # type: ignore[arg-type]
+    return Bounds(BoundSettings(**terms), lambda: 4, Random(1), 0)  # type: ignore[arg-type]
 
 
 def test_a_share_lets_so_many_out_and_no_burst_after_a_pause() -> None:
--- a/tests/test_fleet_pool_decisions.py
+++ b/tests/test_fleet_pool_decisions.py
@@ -6,46 +6,55 @@
 
 import pytest
 
-from bitternbeam.fleet.commit import Committed, committed_of, to_commit
-from bitternbeam.fleet.ramp import FIRST, Health, Ramp, Told, told_of
-from bitternbeam.fleet.view import DRAINING, EMPTY, READY, Pool, Server, change, servers_of, view_value
+from bitternbeam.fleet.commit import Committed, parse_committed, version_to_publish
+from bitternbeam.fleet.ramp import INITIAL_SHARE, BookerHealth, Health, Ramp, parse_booker_health
+from bitternbeam.fleet.view import (
+    DRAINING,
+    EMPTY_GRACE_MULTIPLE,
+    READY,
+    Pool,
+    Server,
+    change,
+    parse_servers,
+    view_value,
+)
 
 S = 1_000_000
 
 
 def health(ramp: Ramp) -> Health:
-    return ramp.told.health
+    return ramp.state.health
 
 
 def test_three_lost_probes_eject_and_good_ones_let_it_come_back_by_doubling() -> None:
     ramp = Ramp(step_us=S)
-    assert [ramp.probed(False, 0, 0) for _ in range(3)] == [False, False, True]
-    assert health(ramp) is Health.EJECTED and ramp.told.share == 0
-    assert not ramp.probed(True, S, 1000) and ramp.probed(True, S, 1000)
-    shares, now = [ramp.told.share], S
+    assert [ramp.probe_answered(False, 0, 0) for _ in range(3)] == [False, False, True]
+    assert health(ramp) is Health.EJECTED and ramp.state.share == 0
+    assert not ramp.probe_answered(True, S, 1000) and ramp.probe_answered(True, S, 1000)
+    shares, now = [ramp.state.share], S
     while health(ramp) is Health.RAMPING:
         now += S // 2
-        if ramp.probed(True, now, now // 1000):
-            shares.append(ramp.told.share)
-    assert shares == [FIRST, 0.25, 0.5, 1.0]
-    assert ramp.told == Told(Health.READY, 1.0, 1000)
+        if ramp.probe_answered(True, now, now // 1000):
+            shares.append(ramp.state.share)
+    assert shares == [INITIAL_SHARE, 0.25, 0.5, 1.0]
+    assert ramp.state == BookerHealth(Health.READY, 1.0, 1000)
 
 
 def test_one_probe_lost_while_it_comes_back_ejects_and_two_lost_apart_do_not() -> None:
     ramp = Ramp(step_us=S)
     for good in (False, False, True, False, False, True):
-        ramp.probed(good, 0, 0)
+        ramp.probe_answered(good, 0, 0)
     assert health(ramp) is Health.READY
-    ramp.cold(0, 5)
-    assert ramp.told == Told(Health.RAMPING, FIRST, 5)
-    assert ramp.probed(False, 0, 6) and health(ramp) is Health.EJECTED
+    ramp.booker_replaced(0, 5)
+    assert ramp.state == BookerHealth(Health.RAMPING, INITIAL_SHARE, 5)
+    assert ramp.probe_answered(False, 0, 6) and health(ramp) is Health.EJECTED
 
 
 def test_a_new_owner_goes_on_where_the_ramp_was() -> None:
     ramp = Ramp(step_us=S)
-    ramp.resume(Told(Health.RAMPING, 0.5, 9))
-    assert not ramp.probed(True, 10 * S, 10_000)  # its own step begins with the first good probe
-    assert ramp.probed(True, 11 * S, 11_000) and ramp.told == Told(Health.READY, 1.0, 9)
+    ramp.resume(BookerHealth(Health.RAMPING, 0.5, 9))
+    assert not ramp.probe_answered(True, 10 * S, 10_000)  # its own step begins with the first good probe
+    assert ramp.probe_answered(True, 11 * S, 11_000) and ramp.state == BookerHealth(Health.READY, 1.0, 9)
 
 
 @pytest.mark.parametrize(
@@ -57,8 +66,8 @@
     ],
 )  # fmt: skip
 def test_what_is_no_bookers_state_is_none(value: dict[str, object]) -> None:
-    assert told_of(value) is None
-    assert told_of(Told().value()) == Told()
+    assert parse_booker_health(value) is None
+    assert parse_booker_health(BookerHealth().value()) == BookerHealth()
 
 
 # The view.
@@ -78,55 +87,55 @@
 
 def test_one_that_a_reply_leaves_out_drains_at_once_and_goes_later() -> None:
     pool = Pool(gone_us=S)
-    pool.told(listed("a", "b"), 0)
-    pool.told(listed("a"), 1)
+    pool.update(listed("a", "b"), 0)
+    pool.update(listed("a"), 1)
     assert states(pool) == {"a": READY, "b": DRAINING}
-    pool.told(listed("a"), S)
+    pool.update(listed("a"), S)
     assert states(pool) == {"a": READY, "b": DRAINING}
-    pool.told(listed("a"), S + 1)
+    pool.update(listed("a"), S + 1)
     assert states(pool) == {"a": READY}
 
 
 def test_one_that_comes_back_in_time_is_as_before() -> None:
     pool = Pool(gone_us=S)
-    pool.told(listed("a", "b"), 0)
-    pool.told(listed("a"), 1)
-    pool.told(listed("a", "b"), 2)
-    pool.told(listed("a", "b"), 10 * S)
+    pool.update(listed("a", "b"), 0)
+    pool.update(listed("a"), 1)
+    pool.update(listed("a", "b"), 2)
+    pool.update(listed("a", "b"), 10 * S)
     assert states(pool) == {"a": READY, "b": READY}
 
 
 def test_an_empty_reply_changes_nothing_until_it_was_said_for_long() -> None:
     pool = Pool(gone_us=S)
-    pool.told(listed("a", "b"), 0)
-    pool.told({}, 1)
-    pool.told({}, EMPTY * S)
+    pool.update(listed("a", "b"), 0)
+    pool.update({}, 1)
+    pool.update({}, EMPTY_GRACE_MULTIPLE * S)
     assert states(pool) == {"a": READY, "b": READY}
-    pool.told(listed("a", "b"), EMPTY * S)
-    pool.told({}, EMPTY * S + 1)
+    pool.update(listed("a", "b"), EMPTY_GRACE_MULTIPLE * S)
+    pool.update({}, EMPTY_GRACE_MULTIPLE * S + 1)
     assert states(pool) == {"a": READY, "b": READY}  # the time counts anew
-    pool.told({}, 2 * EMPTY * S + 1)
+    pool.update({}, 2 * EMPTY_GRACE_MULTIPLE * S + 1)
     assert states(pool) == {"a": DRAINING, "b": DRAINING}
 
 
 def test_a_view_of_another_owner_replaces_what_was_read_here_before() -> None:
     # Found with real processes: an old half reply, kept, emptied the pool of a member that was cut off later.
     pool = Pool(gone_us=S)
-    pool.told(listed("a", "b", "c"), 0)
-    pool.told(listed("a"), 1)
+    pool.update(listed("a", "b", "c"), 0)
+    pool.update(listed("a"), 1)
     pool.resume(listed("a", "b", "c"))
     assert not pool.read and states(pool) == {"a": READY, "b": READY, "c": READY}
 
 
 def test_probes_narrow_the_view_and_never_widen_it() -> None:
     pool = Pool(gone_us=S)
-    pool.told({"a": server("a"), "b": server("b", DRAINING), "c": server("c", started_ms=50)}, 0)
+    pool.update({"a": server("a"), "b": server("b", DRAINING), "c": server("c", started_ms=50)}, 0)
     found = pool.servers(
         {
-            "a": Told(Health.EJECTED, 0.0, 7),
-            "b": Told(),
-            "c": Told(Health.RAMPING, 0.25, 20),
-            "gone": Told(Health.RAMPING, 0.5, 1),
+            "a": BookerHealth(Health.EJECTED, 0.0, 7),
+            "b": BookerHealth(),
+            "c": BookerHealth(Health.RAMPING, 0.25, 20),
+            "gone": BookerHealth(Health.RAMPING, 0.5, 1),
         }
     )
     assert sorted(found, key=lambda one: one.name) == [
@@ -145,14 +154,14 @@
 )  # fmt: skip
 def test_half_a_view_is_no_view(spoil: object) -> None:
     value = view_value([server("a"), server("b")], 3)
-    assert servers_of(json.loads(json.dumps(value))) == listed("a", "b")
+    assert parse_servers(json.loads(json.dumps(value))) == listed("a", "b")
     value["servers"][1] = spoil(value["servers"][1])  # type: ignore[operator]
-    assert servers_of(value) is None
+    assert parse_servers(value) is None
 
 
 def test_a_view_that_names_one_twice_is_no_view() -> None:
-    assert servers_of(view_value([server("a"), server("a")], 1)) is None
-    assert servers_of({}) is None
+    assert parse_servers(view_value([server("a"), server("a")], 1)) is None
+    assert parse_servers({}) is None
 
 
 def test_what_changes_from_view_to_view_leaves_shares_out() -> None:
@@ -179,10 +188,10 @@
 )
 def test_what_is_committed(own: str, committed: str | None, rolled_back: list[str], published: str) -> None:
     before = None if committed is None else Committed(committed, "theirs")
-    assert to_commit(Committed(own, "ours"), before, rolled_back).number == published
+    assert version_to_publish(Committed(own, "ours"), before, rolled_back).number == published
 
 
 @pytest.mark.parametrize("number", ["", "1", "1.", ".1", "a.b", "1.2.3", "-1.2", "1" * 40 + ".1", 3, None])
 def test_what_is_no_commit_is_none(number: object) -> None:
-    assert committed_of({"number": number, "content": "c"}) is None
-    assert committed_of({"number": "1.2", "content": "c"}) == Committed("1.2", "c")
+    assert parse_committed({"number": number, "content": "c"}) is None
+    assert parse_committed({"number": "1.2", "content": "c"}) == Committed("1.2", "c")
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -267,7 +267,7 @@
     assert second.bounds.admit(offer("acme"), 1) is not None
     third.heard({"m1": second.reports(S)}, S)
     assert third.bounds.admit(offer("acme"), S) is not None and third.bounds.admit(offer("bolt"), S) is None
-    assert third.kept["tenant"].claim.seen >= 7
+    assert third.kept["tenant"].claim.highest_seen >= 7
     assert [row[0] for row in third.board.record_value("tenant")["rows"]] == ["acme"]
 
 
@@ -325,7 +325,9 @@
     token = lead(one, "tenant", 3)
     one.kept["tenant"].judge = lambda: [Detection(subject, "floods", 2_000)]
     one.kept["tenant"].act(token, 1_500_000)
-    assert one.kept["tenant"].claim.seen >= 9 and one.board.active("tenant", subject, 1_500_000) is None
+    assert (
+        one.kept["tenant"].claim.highest_seen >= 9 and one.board.active("tenant", subject, 1_500_000) is None
+    )
 
 
 BAD = """[fleet]
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternbeam.fleet.record import SKEW_MS, Heard
+from bitternbeam.fleet.record import MAX_CLOCK_SKEW_MS, ReadResult
 from bitternbeam.fleet.tokens import Token
 from bitternbeam.fleet.verdicts.board import VerdictBoard
 from bitternbeam.fleet.verdicts.kinds import KINDS
@@ -46,24 +46,24 @@
         assert stands == second.active("tenant", subject, at_us)
         # None outlives its expiry by more than clocks may differ, and the highest in order is the one.
         if stands is not None:
-            assert stands.expires_ms + SKEW_MS > WALL + later_ms
+            assert stands.expires_ms + MAX_CLOCK_SKEW_MS > WALL + later_ms
             assert stands.precedence == max(one.precedence for one in heard if one.subject == subject)
 
 
 @pytest.mark.parametrize(
     ("change", "wall_ms", "heard"),
     [
-        ({}, WALL, Heard.NEW),
-        ({"issued_ms": WALL + SKEW_MS + 1}, WALL, Heard.FUTURE),
-        ({}, WALL + KINDS["tenant"].max_duration_ms + SKEW_MS + 1, Heard.OLD),
-        ({"kind": "nothing"}, WALL, Heard.MALFORMED),
-        ({"duration_ms": KINDS["tenant"].max_duration_ms + 1}, WALL, Heard.MALFORMED),
+        ({}, WALL, ReadResult.NEW),
+        ({"issued_ms": WALL + MAX_CLOCK_SKEW_MS + 1}, WALL, ReadResult.FUTURE),
+        ({}, WALL + KINDS["tenant"].max_duration_ms + MAX_CLOCK_SKEW_MS + 1, ReadResult.OLD),
+        ({"kind": "nothing"}, WALL, ReadResult.MALFORMED),
+        ({"duration_ms": KINDS["tenant"].max_duration_ms + 1}, WALL, ReadResult.MALFORMED),
     ],
 )
-def test_what_a_board_turns_down_is_counted(change: dict[str, Any], wall_ms: int, heard: Heard) -> None:
+def test_what_a_board_turns_down_is_counted(change: dict[str, Any], wall_ms: int, heard: ReadResult) -> None:
     board = VerdictBoard(1_000_000, 0)
     assert board.add(replace(ONE, **change), 0, wall_ms) is heard
-    assert board.rejected == ({} if heard is Heard.NEW else {str(heard): 1})
+    assert board.rejected == ({} if heard is ReadResult.NEW else {str(heard): 1})
 
 
 def test_one_that_comes_late_ends_with_the_others() -> None:
@@ -80,7 +80,7 @@
     assert board.issue(low, 0, WALL) is None and board.highest_token("tenant") == Token(5, "m1")
     lift = board.issue(replace(low, token=Token(6, "m2")), 0, WALL)
     assert lift is not None and board.denial_reason("tenant", "acme", 1) == ""
-    assert board.add(ONE, 0, WALL) is Heard.STALE
+    assert board.add(ONE, 0, WALL) is ReadResult.STALE
     again = board.issue(replace(ONE, token=Token(6, "m2")), 0, WALL)
     assert again is not None and board.denial_reason("tenant", "acme", 1) == "unpaid"
 
