--- a/bitternbeam/fleet/__init__.py
+++ b/bitternbeam/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Work done once for the whole fleet: leases, fencing tokens and who owns which piece (pure, no I/O)."""
+"""Work done once for the whole fleet: leases, fencing tokens and ownership (pure, no I/O)."""
--- a/bitternbeam/fleet/bearing.py
+++ b/bitternbeam/fleet/bearing.py
@@ -1,4 +1,4 @@
-"""What a booker bears in its health of now: its limit, and a cold one's part of it; the owner's. Pure."""
+"""One booker's limit under its current health, as computed by the booker's owner. Pure: no clock, no I/O."""
 
 from __future__ import annotations
 
@@ -10,26 +10,29 @@
 
 
 class BookerLimit:
-    """One booker's limit: moved once a period by the reports, held at once within what its health allows."""
+    """One booker's limit: updated once a period from the reports, capped at once when its health changes."""
 
     def __init__(self) -> None:
         self.controller = LimitController()
-        self.ready_pressure: Pressure | None = None  # as it would be were the booker ready
-        self.other_booker_rates: list[float] = []  # what the other bookers took, per second
+        self.ready_pressure: Pressure | None = None  # as if the booker were ready
+        self.other_booker_rates: list[float] = []  # accepted per second
 
     def resume(self, pressure: Pressure) -> None:
-        """Go on from what another owner published."""
+        """Continue from what the previous owner published."""
         self.controller.resume(pressure)
         self.ready_pressure = None
 
     def replaced(self) -> None:
-        """Note that it was found to be replaced: it was so before, and turned away what it bore till then."""
+        """Handle a replacement of the booker.
+
+        It took place before it was noticed; refusals since then have lowered the capacity, which is restored.
+        """
         self.controller.restore_capacity()
 
     def step(
         self, reports: Sequence[Report], booker: str, bookers: Iterable[str], health: BookerHealth
     ) -> None:
-        """Move the limit by a period's reports of the members; `bookers` names them all."""
+        """Update the limit from the members' reports of a period; `bookers` are all names."""
         traffic, demand = sum_reports(reports, booker)
         pressed = self.controller.step(traffic, cold=health.health is not Health.READY)
         self.other_booker_rates = [
@@ -41,13 +44,13 @@
         )
 
     def pressure(self, health: BookerHealth, published: Pressure | None) -> Pressure | None:
-        """Return what is to be published; None: nothing is known.
+        """Return what is to be published, or None if nothing is known.
 
-        Danger: where a cold booker's part followed a period after its health, all members went on as before.
+        A cold booker's cap applies at once: applied a period later, all members went on sending as before.
         """
         base = self.ready_pressure or published
         if base is None or health.health is Health.READY:
             return base
-        # It bears only so much from all members together, however many they are.
+        # The cap holds for all members together, whatever their number.
         held = base.within(cold_limit(health.share, self.controller.capacity, self.other_booker_rates))
         return replace(held, bore=self.controller.capacity)
--- a/bitternbeam/fleet/claim.py
+++ b/bitternbeam/fleet/claim.py
@@ -1,6 +1,6 @@
-"""One process's claim on the lease of one piece of work: a state machine moved by the engine's answers.
+"""One process's claim on the lease of one piece of work: a state machine driven by the engine's answers.
 
-Times are microseconds of a monotonic clock handed in; nothing here reads a clock or does I/O.
+Times are microseconds of a monotonic clock, passed in; nothing here reads a clock or does I/O.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class Phase(StrEnum):
-    """Where one process stands with one piece of work."""
+    """The state of one process's claim on one piece of work."""
 
-    FOLLOWING = "following"  # another owns it, or nobody does and it is not ours to take
-    ACQUIRING = "acquiring"  # an acquire is on its way
-    FENCING = "fencing"  # the lock is held; the token is being taken
-    OWNER = "owner"  # lock and token held: it may act while the session is sure
-    CHECKING = "checking"  # the lock is read again (after a pause, a refusal or an error)
-    RELEASING = "releasing"  # it is no longer ours to hold
+    FOLLOWING = "following"  # another process owns it, or this one is not to take it
+    ACQUIRING = "acquiring"  # an acquire request is in flight
+    FENCING = "fencing"  # the lock is held; a fencing token is being allocated
+    OWNER = "owner"  # lock and token held: may act while the session is valid
+    CHECKING = "checking"  # the lock is read again after a pause, a rejected action or an error
+    RELEASING = "releasing"  # the lock is being given up
 
 
 class Step(StrEnum):
-    """What the wire should do next for a claim."""
+    """The next request to the engine for a claim."""
 
     ACQUIRE = "acquire"  # PUT /v1/kv/<key>?acquire=<session>
     READ_COUNTER = "read-counter"  # GET /v1/kv/<key>/token
@@ -33,10 +33,10 @@
 
 
 class Claim:
-    """One process's hold on one piece of work, moved by the engine's answers.
+    """One process's claim on one piece of work, driven by the engine's answers.
 
-    `wanted` says whether rendezvous hashing gives the work to this process now. At most one step is on the
-    wire at a time (`busy`); its answer comes back through one of the methods below.
+    `wanted` says whether this process should own the work now. At most one request is in flight at a time
+    (`busy`); its answer is passed to one of the methods below.
     """
 
     def __init__(self, key: str, holder: str, times: LeaseTimes) -> None:
@@ -45,17 +45,17 @@
         self.times = times
         self.phase = Phase.FOLLOWING
         self.token: Token | None = None
-        self.highest_seen = 0  # the highest token number seen anywhere: never taken again
-        self.counter_index = 0  # the counter's ModifyIndex for the check-and-set
+        self.highest_seen = 0  # highest token number seen anywhere; never reused
+        self.counter_index = 0  # the counter's ModifyIndex, for the check-and-set
         self.stored_number = 0
         self.busy = False
-        self.lock_session: str | None = None  # the session the lock was taken under: a new one holds nothing
-        self.not_before_us = 0  # a refused acquire waits
+        self.lock_session: str | None = None  # session that acquired the lock; a new session holds nothing
+        self.not_before_us = 0  # no acquire before this time
         self.takeovers = 0
-        self.held_since_us = 0  # when the lock was granted last
+        self.held_since_us = 0  # when the lock was last granted
 
     def next_step(self, now_us: int, session: Session, wanted: bool) -> Step | None:
-        """Return the next step to send, or None; the caller marks it sent by sending it."""
+        """Return the next request to send, or None; it counts as in flight from here on."""
         if self.busy:
             return None
         if session.id is None or (self.phase is not Phase.FOLLOWING and session.id != self.lock_session):
@@ -75,8 +75,8 @@
             case Phase.FOLLOWING if wanted and now_us >= self.not_before_us and session.is_valid(now_us):
                 self.phase = Phase.ACQUIRING
                 self.lock_session = session.id
-                # Danger: an acquire whose answer is lost may have been granted. Taken for one held long ago,
-                # it was given back at once by a member behind the first in line, and by the next one again.
+                # An acquire whose answer is lost may have been granted. With the previous grant's time a
+                # member that is not first in order would release it at once, and so would the next one.
                 self.held_since_us = now_us
                 return Step.ACQUIRE
             case Phase.FENCING if self.counter_index < 0:
@@ -90,7 +90,7 @@
         return None
 
     def may_act(self, now_us: int, session: Session) -> Token | None:
-        """Return the token to act with now, or None: only an owner whose session is surely alive acts."""
+        """Return the token to act with, or None if this process is no owner with a valid session."""
         if (
             self.phase is Phase.OWNER
             and self.token is not None
@@ -101,7 +101,7 @@
         return None
 
     def acquire_answered(self, granted: bool, now_us: int) -> None:
-        """Take the answer to an acquire: true, or false (held by another or within its lock-delay)."""
+        """Handle the answer to an acquire, refused while another holds the lock or in its lock-delay."""
         self.busy = False
         if self.phase is not Phase.ACQUIRING:
             return
@@ -115,14 +115,14 @@
             self.not_before_us = now_us + self.times.retry_us
 
     def counter_read(self, stored: int, modify_index: int) -> None:
-        """Take the token counter as the engine has it: its number and ModifyIndex (0 both when absent)."""
+        """Handle the token counter's value: its number and ModifyIndex, both 0 if it is absent."""
         self.busy = False
         if self.phase is Phase.FENCING:
             self.stored_number = stored
             self.counter_index = modify_index
 
     def counter_written(self, done: bool) -> None:
-        """Take the answer to the check-and-set: done, or another wrote first (read it again)."""
+        """Handle the answer to the check-and-set; if another wrote first, the counter is read again."""
         self.busy = False
         if self.phase is not Phase.FENCING:
             return
@@ -135,11 +135,11 @@
             self.counter_index = -1
 
     def number_to_write(self) -> int:
-        """Return the number the check-and-set writes."""
+        """Return the number that the check-and-set writes."""
         return next_number(self.stored_number, self.highest_seen)
 
     def check_answered(self, holder_session: str | None, session: Session) -> None:
-        """Whose session holds the lock now: still ours keeps the token; else it follows."""
+        """Handle the lock's current session: keep the token if it is ours, else become a follower."""
         self.busy = False
         if self.phase is not Phase.CHECKING:
             return
@@ -152,19 +152,19 @@
             self._lose()
 
     def act_refused(self, highest: Token | None) -> None:
-        """Note that a receiver turned an act down: keep its highest number and look at the lock again."""
+        """Handle an action rejected by a receiver: keep its highest number and read the lock again."""
         if highest is not None:
             self.highest_seen = max(self.highest_seen, highest.number)
         if self.phase is Phase.OWNER:
             self.phase = Phase.CHECKING
 
     def released(self) -> None:
-        """Take the answer to a release (or the session is gone, which releases all)."""
+        """Handle the answer to a release."""
         self.busy = False
         self._lose()
 
     def request_failed(self) -> None:
-        """Note that the step's request failed: nothing is known, so whatever was held is checked again."""
+        """Handle a failed request: its effect is unknown, so the lock is checked again."""
         self.busy = False
         if self.phase in (Phase.OWNER, Phase.FENCING, Phase.ACQUIRING):
             self.phase = Phase.CHECKING
--- a/bitternbeam/fleet/lease.py
+++ b/bitternbeam/fleet/lease.py
@@ -1,64 +1,64 @@
-"""Leases on pieces of work: what one process believes it holds, and when it must stop believing it.
+"""Leases on pieces of work: whether this process holds one, and when it must stop acting on it.
 
-The engine (Consul) grants a session with a TTL and locks under it; it invalidates the session no sooner
+The engine (Consul) grants a session with a TTL and locks under it. It invalidates the session no sooner
 than TTL after the last renewal it received (Consul's session documentation: "the TTL is a lower bound").
-A renewal that the engine confirmed was received after it was sent, so the process counts the TTL from
-the moment it sent it, by its own monotonic clock, and stops a margin earlier for drift. A gap between two
-ticks longer than `pause_us` means the process was paused: whatever it held is checked with the engine
-again before it acts. Acts still carry a fencing token, since a pause may fall between the check and the
-act (tokens.Fence turns those down).
+A confirmed renewal was received after it was sent, so the process counts the TTL from the sending time on
+its own monotonic clock, and stops a margin earlier to allow for drift. A gap between two ticks longer than
+`pause_us` means that the process was paused: it checks its locks with the engine before it acts again.
+Actions still carry a fencing token, as a pause may fall between the check and the action (tokens.Fence
+rejects those).
 
-Times are microseconds of a monotonic clock handed in; nothing here reads a clock or does I/O.
+Times are microseconds of a monotonic clock, passed in; nothing here reads a clock or does I/O.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-DRIFT_PPM = 1_000  # clocks of two processes may run apart by so much (0.1 %)
+DRIFT_PPM = 1_000  # largest drift between the clocks of two processes (0.1 %)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """The lease's times in microseconds: session TTL, the engine's lock-delay, the own margin, a pause."""
+    """Lease settings in microseconds."""
 
     ttl_us: int = 10_000_000
     lock_delay_us: int = 1_000_000
-    margin_us: int = 2_000_000  # stop so long before the TTL counted from the renewal's sending
-    pause_us: int = 1_000_000  # a tick later than this after the one before: the process was paused
-    tick_us: int = 100_000  # how often the process looks at its leases
+    margin_us: int = 2_000_000  # stop this long before the TTL, counted from the sending of the renewal, ends
+    pause_us: int = 1_000_000  # a longer gap between two ticks means that the process was paused
+    tick_us: int = 100_000  # interval of lease checks
 
     @property
     def renew_every_us(self) -> int:
-        """Renew three times a TTL, so that two lost renewals do not lose the lease."""
+        """Renewal interval: a third of the TTL, so that two lost renewals do not lose the lease."""
         return self.ttl_us // 3
 
     @property
     def retry_us(self) -> int:
-        """Wait so long after an acquire that was refused: a part of the lock-delay, 100 ms at least."""
+        """Delay after a refused acquire: a quarter of the lock-delay, at least 100 ms."""
         return max(self.lock_delay_us // 4, 100_000)
 
     @property
     def settle_us(self) -> int:
-        """Hold work for so long before handing it over: two TTLs."""
+        """Shortest time for which work is held before it is handed over: two TTLs."""
         return 2 * self.ttl_us
 
     @property
     def grace_us(self) -> int:
-        """Each place in line waits so much longer for a lock that lies free."""
+        """Additional wait for a free lock per position in the order of candidates."""
         return max(3 * self.tick_us, 300_000)
 
     @property
     def safe_us(self) -> int:
-        """How long after sending a confirmed renewal the lease is surely still held."""
+        """How long after sending a confirmed renewal the lease is certainly still held."""
         return self.ttl_us - self.margin_us - self.ttl_us * DRIFT_PPM // 1_000_000
 
 
 def find_faults(times: LeaseTimes) -> list[tuple[str, str]]:
-    """Each setting that cannot work, as (key, what is wrong); empty when all is well.
+    """Return the invalid settings as (key, message) pairs; empty if all are valid.
 
-    The TTL must leave room for the margin and two renewals; the margin must cover a pause seen late by
-    one tick; Consul takes TTLs from 10 s to 86400 s, the stand-in from 1 s (the lab's short runs).
+    The TTL must leave room for the margin and two renewals; the margin must cover a pause that is detected
+    one tick late; Consul accepts TTLs from 10 s to 86400 s, the stand-in server from 1 s (for short tests).
     """
     found = []
     if times.tick_us <= 0 or times.pause_us <= times.tick_us:
@@ -75,22 +75,20 @@
 
 
 class Session:
-    """The process's one session with the engine, and until when it surely lasts."""
+    """The process's only session with the engine, and until when it is certainly valid."""
 
     def __init__(self, times: LeaseTimes, now_us: int) -> None:
         self.times = times
         self.id: str | None = None
-        self.confirmed_us: int | None = None  # sending time of the newest renewal the engine confirmed
+        self.confirmed_us: int | None = None  # sending time of the latest confirmed renewal
         self.last_tick_us = now_us
-        self.pause_ended_us: int | None = (
-            None  # the end of the last pause seen; cleared by a renewal sent after it
-        )
+        self.pause_ended_us: int | None = None  # end of the last pause; cleared by a renewal sent after it
         self.pauses = 0
 
     def tick(self, now_us: int) -> bool:
-        """Note the time; True when a pause was seen since the last tick.
+        """Record the time; return True if the process was paused since the last tick.
 
-        A session not renewed for a whole TTL by the own clock is dropped: the engine may have let it go.
+        A session not renewed for a whole TTL is dropped, as the engine may have invalidated it.
         """
         paused = now_us - self.last_tick_us > self.times.pause_us
         self.last_tick_us = max(self.last_tick_us, now_us)
@@ -102,7 +100,7 @@
         return paused
 
     def is_valid(self, now_us: int) -> bool:
-        """Whether the engine surely still holds the session now and no pause is unchecked."""
+        """Return whether the session is certainly valid and no pause is left unchecked."""
         if self.id is None or self.confirmed_us is None or self.pause_ended_us is not None:
             return False
         return now_us < self.confirmed_us + self.times.safe_us and now_us - self.last_tick_us <= (
@@ -110,7 +108,7 @@
         )
 
     def renew_due(self, now_us: int) -> bool:
-        """Whether a renewal should be sent now."""
+        """Return whether a renewal should be sent now."""
         if self.id is None:
             return False
         return (
@@ -120,14 +118,14 @@
         )
 
     def created(self, session_id: str, sent_us: int) -> None:
-        """Note that the engine made the session asked for at `sent_us`."""
+        """Record the session that the engine created on the request sent at `sent_us`."""
         self.id = session_id
         self.confirmed_us = sent_us
         if self.pause_ended_us is not None and sent_us >= self.pause_ended_us:
             self.pause_ended_us = None
 
     def renewed(self, session_id: str, sent_us: int) -> None:
-        """Note a confirmed renewal sent at `sent_us`; a late answer to an older one moves nothing back."""
+        """Record a confirmed renewal sent at `sent_us`; answers that arrive out of order change nothing."""
         if session_id != self.id:
             return
         self.confirmed_us = sent_us if self.confirmed_us is None else max(self.confirmed_us, sent_us)
@@ -135,6 +133,6 @@
             self.pause_ended_us = None
 
     def expire(self) -> None:
-        """Forget the session: the engine knows it no more (404 on renewal), or its time ran out."""
+        """Drop the session: the engine no longer knows it (404 on renewal), or its TTL has passed."""
         self.id = None
         self.confirmed_us = None
--- a/bitternbeam/fleet/tokens.py
+++ b/bitternbeam/fleet/tokens.py
@@ -1,9 +1,9 @@
 """Fencing tokens and the fence that a receiver keeps.
 
-A token is the pair (number, holder). The number only grows: it is taken by a check-and-set on the engine
-while the lock is held, above every number the taker has seen (Kleppmann, "How to do distributed locking",
-2016: the storage checks the token). The holder breaks a tie: two owners that came to the same number after
-the engine lost its data are told apart, and only the first one seen is let through.
+A token is the pair (number, holder). Numbers only increase: a new one is allocated by a check-and-set on the
+engine while the lock is held, above every number the owner has seen (Kleppmann, "How to do distributed
+locking", 2016: the storage checks the token). The holder breaks ties: if two owners get the same number after
+the engine lost its data, only the first one seen is accepted.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Token:
-    """A fencing token; numbers from 1 up, holder a member's name."""
+    """A fencing token; numbers start at 1, `holder` is a member's name."""
 
     number: int
     holder: str
@@ -23,7 +23,7 @@
 
 
 def parse_token(text: str) -> Token | None:
-    """Read `NUMBER@HOLDER`; None for anything else (a receiver never trusts what it can't read)."""
+    """Read `NUMBER@HOLDER`; None if the text is malformed."""
     number, at, holder = text.partition("@")
     if not at or not holder or not number.isdigit() or len(number) > 18:
         return None
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a fence said of one act: let through or not, and the highest token it knows then."""
+    """A fence's decision on one action, and the highest token it knows afterwards."""
 
     accepted: bool
     highest: Token | None
 
 
 class Fence:
-    """The highest token a receiver has let through; anything lower, or equal from another holder, is refused.
+    """Accepts no token lower than the highest accepted so far, nor an equal number of another holder.
 
-    An act with a higher number moves the fence up; acts of the same holder at the highest number go on being
-    let through. Refused acts change nothing.
+    An action with a higher number raises the fence; further actions with the highest token are accepted.
+    Rejected actions change nothing.
     """
 
     def __init__(self, highest: Token | None = None) -> None:
@@ -51,7 +51,7 @@
         self.refused = 0
 
     def admit(self, token: Token) -> Verdict:
-        """Judge one act."""
+        """Decide on one action."""
         top = self.highest
         if top is None or token.number > top.number or token == top:
             self.highest = token
@@ -62,9 +62,9 @@
 
 
 def next_number(stored: int, seen: int) -> int:
-    """Return the number a new owner takes: above what the engine holds and above what it has seen anywhere.
+    """Return a new owner's number: above the engine's counter and above any number seen.
 
-    After the engine lost its data, `stored` starts again from zero; `seen` (the fences' answers, the
-    published records) keeps the numbers growing.
+    If the engine loses its data, `stored` starts at zero again; `seen` (from the fences' answers and the
+    published records) keeps the numbers increasing.
     """
     return max(stored, seen) + 1
