--- a/bitternbeam/fleet/membership.py
+++ b/bitternbeam/fleet/membership.py
@@ -1,12 +1,11 @@
-"""Who is in the fleet: members as the catalogue tells them, damped, and how large the fleet may be.
+"""The fleet's members as listed in the catalogue, with flap damping, and the fleet's size.
 
-A member that has just come counts for ownership only once it has been there steadily for a while, and
-longer after each time it left (route flap damping, RFC 2439, with a doubling instead of a penalty that
-decays): a member that flaps between the engine and the net must not drag its work to and fro. One that
-left counts no more at once, since its lease lapses with it.
+A new member counts for ownership only after it has been present for a while, and longer after each departure
+(route flap damping, RFC 2439, with a doubling instead of a decaying penalty), so that a flapping member does
+not move its work to and fro. A member that left stops counting at once, as its lease lapses with it.
 
-The size that shares are divided by errs safe: the largest fleet seen within `recent_us`, so that an engine
-that loses half of the members for a moment lets nobody send more. Times are microseconds, handed in.
+The size by which shares are divided is conservative: the largest fleet seen within `recent_us`, so that no
+member sends more when the engine loses half of the members for a moment. Times are microseconds, passed in.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 
 from bitternbeam.fleet.rendezvous import weight
 
-MAX_SETTLE_DOUBLINGS = 3  # a member that left often settles for at most so many doublings of settle_us
-MAX_DECLINING_MEMBERS = 2  # past so many members that can't reach a receiver, it is the receiver that fails
+MAX_SETTLE_DOUBLINGS = 3  # largest number of doublings of settle_us
+MAX_DECLINING_MEMBERS = 2  # if more members cannot reach a receiver, the receiver is at fault
 
 
 @dataclass(frozen=True, slots=True)
 class Damping:
-    """How long a member has to stay before it counts, and for how long a size or a leaving is remembered."""
+    """How long a member must be present to count, and how long sizes and departures are remembered."""
 
     settle_us: int
     recent_us: int
@@ -32,13 +31,13 @@
 @dataclass(slots=True)
 class _MemberState:
     since_us: int
-    departures: int = 0  # times it left and came back within recent_us
+    departures: int = 0  # departures followed by a return within recent_us
     left_us: int | None = None
     declined: frozenset[str] = frozenset()
 
 
 class Membership:
-    """The members as told, from one member's own view. `me` always counts."""
+    """The members known to one member from the catalogue. `me` always counts."""
 
     def __init__(self, me: str, damping: Damping, now_us: int) -> None:
         self.me = me
@@ -46,12 +45,12 @@
         self.states: dict[str, _MemberState] = {}
         self.updated_us: int | None = None
         self.sizes: deque[tuple[int, int]] = deque([(now_us, 1)])  # (time, size), newest last
-        self.declined: frozenset[str] = frozenset()  # what `me` stands aside from
+        self.declined: frozenset[str] = frozenset()  # work that `me` declines
 
     def update(self, members: Mapping[str, frozenset[str]], now_us: int) -> bool:
-        """Take the catalogue's passing members, each with the work it stands aside from; True if changed.
+        """Apply the catalogue's passing members, each with the work it declines; return whether they changed.
 
-        Those in the first answer count at once: nothing says that they have just come.
+        Members in the first answer count at once, as they need not have joined just now.
         """
         first = self.updated_us is None
         self.updated_us = now_us
@@ -79,11 +78,11 @@
         return now != before
 
     def present(self) -> set[str]:
-        """Return the members told last, and `me`."""
+        """Return the members of the last update, and `me`."""
         return {name for name, one in self.states.items() if one.left_us is None} | {self.me}
 
     def stable(self, now_us: int) -> list[str]:
-        """Return the members that count for ownership now, in order of their names."""
+        """Return the members that count for ownership now, sorted by name."""
         found = {self.me}
         for name, one in self.states.items():
             settle_us = self.damping.settle_us << min(one.departures, MAX_SETTLE_DOUBLINGS)
@@ -92,14 +91,14 @@
         return sorted(found)
 
     def place(self, work: str, now_us: int) -> int:
-        """Return the place of `me` for a piece of work: 0 owns it, 1 stands by first, and so on.
+        """Return the position of `me` for a piece of work: 0 is the owner, 1 the first stand-by, and so on.
 
-        Members that stand aside from it come last; if all do, the order is as if none did.
+        Members that decline it come last; if all do, the order is as if none did.
         """
         return self.order(work, now_us).index(self.me)
 
     def order(self, work: str, now_us: int) -> list[str]:
-        """Return the steady members as they stand in line for a piece of work."""
+        """Return the stable members in their order of precedence for a piece of work."""
         return sorted(
             self.stable(now_us), key=lambda name: (self._has_declined(name, work), -weight(name, work), name)
         )
@@ -110,14 +109,14 @@
         return work in self.states[name].declined
 
     def may_decline(self, work: str) -> bool:
-        """Whether `me` may stand aside: someone else is there, and few enough have done so already."""
+        """Return whether `me` may decline: others are present, and few enough have declined already."""
         others = [one for name, one in self.states.items() if name != self.me and one.left_us is None]
         return bool(others) and sum(work in one.declined for one in others) < min(
             MAX_DECLINING_MEMBERS, len(others)
         )
 
     def size(self, now_us: int) -> int:
-        """Return the largest fleet seen within recent_us, at least 1: what shares are divided by."""
+        """Return the largest fleet size within recent_us, at least 1, by which shares are divided."""
         while len(self.sizes) > 1 and self.sizes[1][0] <= now_us - self.damping.recent_us:
             self.sizes.popleft()
         return max(size for _at, size in self.sizes)
@@ -125,13 +124,13 @@
     def _note_size(self, size: int, now_us: int) -> None:
         if self.sizes[-1][1] != size:
             self.sizes.append((now_us, size))
-        self.size(now_us)  # lets go of what is too old
+        self.size(now_us)  # drops outdated sizes
 
 
 class EngineContact:
-    """Whether a member acts with the fleet or alone: alone once no engine answer was good for a TTL.
+    """Whether a member is isolated: it has had no valid answer of the engine for a TTL.
 
-    Alone it takes on no work of the fleet; it looks after itself at one part in the fleet's size.
+    An isolated member takes on no work of the fleet and keeps to an equal share by the fleet's size.
     """
 
     def __init__(self, ttl_us: int, now_us: int) -> None:
@@ -140,17 +139,17 @@
         self.is_isolated = False
 
     def answered(self, now_us: int) -> bool:
-        """Note a good answer of the engine; True when the member is with the fleet again."""
+        """Record a valid answer of the engine; return True if that ends the isolation."""
         self.last_answer_us = now_us
         back, self.is_isolated = self.is_isolated, False
         return back
 
     def pause_ended(self, now_us: int) -> None:
-        """Note the end of a pause: what was not heard meanwhile is not the engine's silence."""
+        """Record the end of a pause: missing answers during it are not the engine's fault."""
         self.last_answer_us = now_us
 
     def tick(self, now_us: int) -> bool:
-        """Note the time; True when the member is alone from now on."""
+        """Record the time; return True if the member becomes isolated now."""
         if self.is_isolated or now_us - self.last_answer_us < self.ttl_us:
             return False
         self.is_isolated = True
--- a/bitternbeam/fleet/placement.py
+++ b/bitternbeam/fleet/placement.py
@@ -1,9 +1,9 @@
-"""When a member wants a piece of work: from its place in line, and from what is known of the lock.
+"""When a member should hold a piece of work, by its position in the order of candidates and the lock's state.
 
-The holder alone hands work over, to the first in line and only after it has held it for `settle_us`: so a
-piece of work moves by hand at most once in that time, however members flap. A lock that lies free is taken
-by the first in line at once; each one behind waits `grace_us` longer, so that a first in line that can't or
-won't (two members may see different fleets) costs a moment and not the work.
+Only the holder hands work over: to the first in order, and only after holding it for `settle_us`. So a piece
+of work is handed over at most once in that time, however members flap. A free lock is acquired by the first
+in order at once; each later candidate waits `grace_us` longer, so that a first one that cannot or will not
+act (two members may see different fleets) causes a short delay and not the loss of the work.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True)
 class Lock:
-    """A lock as the watch saw it last: who holds it, or since when it lies free."""
+    """A lock as last seen by the watch: the session that holds it, or since when it is free."""
 
     session: str | None = None
     free_since_us: int | None = None
     known: bool = False
 
     def observe(self, session: str | None, now_us: int) -> None:
-        """Take what the engine shows; a lock never taken is free."""
+        """Record the lock's state in the engine; a lock that was never acquired is free."""
         if session is None and (not self.known or self.session is not None):
             self.free_since_us = now_us
         elif session is not None:
@@ -33,21 +33,21 @@
         self.session, self.known = session, True
 
     def forget(self) -> None:
-        """Know nothing: the watch failed, or the engine starts anew."""
+        """Reset to unknown: the watch failed, or the engine was restarted."""
         self.session, self.free_since_us, self.known = None, None, False
 
 
 def should_hold(claim: Claim, lock: Lock, place: int, declined: bool, now_us: int) -> bool:
-    """Tell whether the member wants the work now; `place` is its place in line, `aside` that it gave up."""
+    """Return whether the member should hold the work; `place` is its position, `declined` that it gave up."""
     times: LeaseTimes = claim.times
     if claim.phase in HELD_PHASES:
         return not declined and (place == 0 or now_us < claim.held_since_us + times.settle_us)
     if declined and place == 0:
-        declined = False  # all stand aside: then the first in line does the work after all
+        declined = False  # all members decline: the first in order does the work
     if declined:
         return False
     if not lock.known:
-        return False  # the watch tells within its first answer; without one there is no engine to ask either
+        return False  # known from the watch's first answer; without one the engine is unreachable
     if lock.free_since_us is None:
         return False
     waited_us = now_us - lock.free_since_us
--- a/bitternbeam/fleet/ramp.py
+++ b/bitternbeam/fleet/ramp.py
@@ -1,8 +1,8 @@
-"""A booker as its owner's probes show it: ready, ejected, or coming back under a growing share.
+"""A booker's health by its owner's probes: ready, ejected, or returning with a growing share (slow start).
 
-Three probes lost in a row eject it; two good ones let it come back with an eighth of its share, doubled after
-each `step_us` in which no probe was lost (slow start, as Envoy's and HAProxy's slow-start windows; doubling,
-since a booker's caches warm in proportion to what it serves). A lost probe meanwhile ejects it again.
+Three lost probes in a row eject it. After two good ones it returns with an eighth of its share, doubled after
+each `step_us` without a lost probe (as the slow-start windows of Envoy and HAProxy; doubled, as a booker's
+caches warm in proportion to what it serves). A probe lost during the ramp ejects it again.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from enum import StrEnum
 from typing import Any
 
-EJECT_AFTER_LOST_PROBES = 3  # probes lost in a row that eject
-RETURN_AFTER_GOOD_PROBES = 2  # good probes in a row that let it come back
-INITIAL_SHARE = 0.125  # of its share
+EJECT_AFTER_LOST_PROBES = 3  # in a row
+RETURN_AFTER_GOOD_PROBES = 2  # in a row
+INITIAL_SHARE = 0.125  # of its usual load
 
 
 class Health(StrEnum):
-    """What the fleet is told of a booker."""
+    """A booker's health as published to the fleet."""
 
     READY = "ready"
     RAMPING = "ramping"
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BookerHealth:
-    """One booker's state for the fleet: the share of its usual load that it takes, and since when."""
+    """A booker's published state: its health, its share of the usual load, and since when."""
 
     health: Health = Health.READY
     share: float = 1.0
     since_ms: int = 0
 
     def value(self) -> dict[str, Any]:
-        """Return it as a record carries it."""
+        """Return the record's value."""
         return {"health": self.health.value, "share": self.share, "since_ms": self.since_ms}
 
 
 def parse_booker_health(value: dict[str, Any]) -> BookerHealth | None:
-    """Read a record's value; None where it is not one."""
+    """Parse a record's value; None if it is malformed."""
     health, share, since = value.get("health"), value.get("share"), value.get("since_ms")
     if health not in [one.value for one in Health] or type(since) is not int or since < 0:
         return None
@@ -48,7 +48,7 @@
 
 
 class Ramp:
-    """One booker's probes, in the hands of its owner."""
+    """Slow start and ejection of one booker by its probes, run by its owner."""
 
     def __init__(self, step_us: int, state: BookerHealth | None = None) -> None:
         self.step_us = step_us
@@ -58,16 +58,16 @@
         self.last_step_us: int | None = None
 
     def resume(self, state: BookerHealth) -> None:
-        """Go on from what the owner before published; a ramp under way stays where it was."""
+        """Continue from the previous owner's state; a ramp in progress keeps its share."""
         self.state, self.last_step_us = state, None
         self.lost_in_row = self.good_in_row = 0
 
     def booker_replaced(self, now_us: int, wall_ms: int) -> None:
-        """Note that the booker was replaced: it begins with the first share."""
+        """Handle a replaced booker: it starts with the initial share."""
         self._set_state(Health.RAMPING, INITIAL_SHARE, now_us, wall_ms)
 
     def probe_answered(self, good: bool, now_us: int, wall_ms: int) -> bool:
-        """Take the outcome of a probe; True when what the fleet is told changes."""
+        """Handle a probe's outcome; return whether the published state changes."""
         self.lost_in_row = 0 if good else self.lost_in_row + 1
         self.good_in_row = self.good_in_row + 1 if good else 0
         before = self.state
--- a/bitternbeam/fleet/record.py
+++ b/bitternbeam/fleet/record.py
@@ -1,13 +1,13 @@
-"""Records that one owner publishes for all, under its fencing token: check-and-set writes, careful readers.
+"""Records that one owner publishes for all members, with check-and-set writes and fencing tokens.
 
 A record is one JSON object `{"token": "7@ctl-2", "at_ms": <Unix ms>, "is": {...}}` in one key of the engine.
-The writer gives the index of the record that it saw (check-and-set), so an owner that was paused between
-looking and writing finds the record moved on; the reader keeps the highest token seen and turns down anything
-lower, so that even a record that an amnesic engine took from an old owner changes nothing.
+The writer passes the index of the record that it read (check-and-set), so the write of an owner that was
+paused in between fails. The reader keeps the highest token seen and rejects lower ones, so that a record of a
+former owner has no effect even if an engine that lost its data accepts it.
 
-A new owner writes once at once, changed or not: from then on no older token can be written or is believed.
-Age is counted by the reader's own monotonic clock from when it first saw the record; the writer's wall clock
-only bars records from the future and records that were old when first seen.
+A new owner writes at once, changed or not: from then on no older token can be written or is accepted.
+Age is counted on the reader's monotonic clock from when it first saw the record; the writer's wall clock only
+excludes records from the future and records that were too old when first seen.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 from bitternbeam.fleet.tokens import Fence, Token, parse_token
 
-MAX_RECORD_BYTES = 512 * 1024  # Consul's own bound on a value
-MAX_CLOCK_SKEW_MS = 2_000  # clocks of two hosts may differ by so much
+MAX_RECORD_BYTES = 512 * 1024  # Consul's limit on a value
+MAX_CLOCK_SKEW_MS = 2_000  # largest difference between the clocks of two hosts
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 def parse_record(text: str) -> Record | None:
-    """Read a record; None for anything else (a reader never trusts what it can't read)."""
+    """Read a record; None if it is malformed."""
     if len(text) > MAX_RECORD_BYTES:
         return None
     try:
@@ -56,18 +56,18 @@
 
 
 class ReadResult(StrEnum):
-    """What a reader made of a record."""
+    """Result of reading a record."""
 
-    NEW = "new"  # taken
-    SAME = "same"  # the one it has
+    NEW = "new"  # accepted
+    SAME = "same"  # the current one
     MALFORMED = "malformed"
-    STALE = "stale"  # its token is lower than one seen
-    FUTURE = "future"  # from further ahead than clocks may differ
-    OLD = "old"  # past the age bound when first seen
+    STALE = "stale"  # token lower than one seen
+    FUTURE = "future"  # further in the future than clocks may differ
+    OLD = "old"  # past the age limit when first seen
 
 
 class RecordReader:
-    """One reader of one record: what it believes, and until when. What it turns down is counted."""
+    """A reader of one record: the current one and its age. Rejected records are counted."""
 
     def __init__(self, age_us: int) -> None:
         self.age_us = age_us
@@ -77,7 +77,7 @@
         self.refused: dict[ReadResult, int] = {}
 
     def read(self, text: str, now_us: int, wall_ms: int) -> ReadResult:
-        """Judge what the engine shows now; `now_us` monotonic, `wall_ms` Unix time."""
+        """Read the record in the engine; `now_us` is monotonic, `wall_ms` Unix time."""
         record = parse_record(text)
         heard = ReadResult.MALFORMED
         if record is not None:
@@ -100,7 +100,7 @@
         return ReadResult.NEW
 
     def fresh(self, now_us: int) -> Record | None:
-        """Return the record if it is still within its age, else None."""
+        """Return the record if it is within its age limit, else None."""
         if self.record is None or now_us - self.seen_us > self.age_us:
             return None
         return self.record
@@ -108,47 +108,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """What to store, and the ModifyIndex it replaces (0: the key must not exist)."""
+    """A record to store, and the ModifyIndex that it replaces (0: the key must not exist)."""
 
     record: Record
     cas: int
 
 
 class Publication:
-    """The writer's side of one record: when to write, and over what.
+    """The writer of one record: decides when to write, and which version to replace.
 
-    `shown` tells what the engine holds; a write that lost the check-and-set waits until that is told anew.
+    `record_read` passes the engine's version; after a lost check-and-set the next write waits for it.
     """
 
     def __init__(self, refresh_us: int) -> None:
         self.refresh_us = refresh_us
-        self.index: int | None = None  # of the record in the engine; None: not known
-        self.stored: Token | None = None  # the token it carries
+        self.index: int | None = None  # ModifyIndex in the engine; None: not known
+        self.stored: Token | None = None  # token of the record in the engine
         self.busy = False
         self.last_written: tuple[Token, dict[str, Any]] | None = None
         self.wrote_us = 0
 
     def record_read(self, index: int, text: str | None) -> None:
-        """Take what the engine holds: its ModifyIndex and text, or (0, None) where there is none."""
+        """Record the engine's version: its ModifyIndex and text, or (0, None) if there is none."""
         record = parse_record(text) if text is not None else None
         self.index = index
         self.stored = record.token if record else None
 
     def forget(self) -> None:
-        """Know nothing of the record: it is asked for before the next write."""
+        """Forget the engine's version: it is read before the next write."""
         self.index = None
 
     def due(self, token: Token, value: dict[str, Any], now_us: int) -> bool:
-        """Tell whether this owner has something to write now."""
+        """Return whether this owner should write now."""
         if self.busy:
             return False
         if self.last_written is None or self.last_written != (token, value):
             return True
-        # All owners refresh in the same moments of Unix time: a watcher then wakes once for all of them.
+        # All owners refresh at the same time, so that a watcher wakes once for all of them.
         return now_us // self.refresh_us != self.wrote_us // self.refresh_us
 
     def write(self, token: Token, value: dict[str, Any], now_us: int, wall_ms: int) -> Write | Token | None:
-        """Return what to write; the token that bars it; or None: the record has to be looked at first."""
+        """Return the write, or the token that forbids it, or None if the record must be read first."""
         if self.index is None:
             return None
         if self.stored is not None and self.stored != token and self.stored.number >= token.number:
@@ -158,15 +158,15 @@
         return Write(Record(token, wall_ms, value), self.index)
 
     def written(self, done: bool, write: Write) -> None:
-        """Take the engine's answer to a write: done, or another wrote first."""
+        """Handle the engine's answer to a write; it fails if another wrote first."""
         self.busy = False
-        self.index = None  # either way the index has moved
+        self.index = None  # the index has changed either way
         self.last_written = (write.record.token, write.record.value) if done else None
         if done:
             self.stored = write.record.token
 
     def failed(self) -> None:
-        """Note that the request failed: whether it was written is not known."""
+        """Handle a failed request: whether it was written is not known."""
         self.busy = False
         self.index = None
         self.last_written = None
--- a/bitternbeam/fleet/rendezvous.py
+++ b/bitternbeam/fleet/rendezvous.py
@@ -11,7 +11,7 @@
 from functools import lru_cache
 
 
-@lru_cache(maxsize=1 << 16)  # the same pairs are asked for at every tick
+@lru_cache(maxsize=1 << 16)  # the same pairs are needed at every tick
 def weight(member: str, work: str) -> int:
     """Return a stable 64-bit score of the pair; the same on every process and every run."""
     digest = hashlib.blake2b(f"{member}\x00{work}".encode(), digest_size=8).digest()
