--- a/bitternbeam/fleet/pressure.py
+++ b/bitternbeam/fleet/pressure.py
@@ -1,14 +1,14 @@
-"""A booker's load as the whole fleet sees it, and what part of it each member may send.
+"""A booker's load summed over the fleet, the fleet's limit for it, and each member's share of that limit.
 
-Each member reports what it was offered and, for each booker, what it sent and what became of it. The owner
-of a booker sums the reports and moves the fleet's limit for it once a period: pressed (more than 4 % of what
-was sent was turned away or not answered in time), the limit falls to what the booker took, by half at the
-most; unpressed, it grows while it is used: doubling far below what the booker last bore, then by a quarter,
-and by 3 and soon 5.5 % around and above it (slow start and congestion avoidance, Jacobson 1988, on rates in
-place of windows). 4 % unnoticed and 5.5 % of growth stay within the tenth by which it may be overloaded.
+Each member reports its offered calls and, for each booker, its sends and their results. The owner of a booker
+sums the reports and updates the fleet's limit for it once a period. If the booker is pressed (more than 4 %
+of the sends were refused or not answered in time), the limit falls to what was accepted, by half at most.
+Otherwise it grows while it is used: doubling far below the booker's last capacity, then by a quarter, then by
+3 and soon 5.5 % around and above it (slow start and congestion avoidance, Jacobson 1988, on rates instead of
+windows). An undetected 4 % and 5.5 % of growth stay within the tenth by which a booker may be overloaded.
 
-A member's share of the limit follows its demand, so that skewed traffic wastes no room; a tenth is split
-evenly, so that a quiet member may send at once. Rates are per second, times microseconds.
+A member's share of the limit follows its demand, so that skewed traffic leaves nothing unused; a tenth is
+split evenly, so that a quiet member may send at once. Rates are per second, times microseconds.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What one member, or all, did at one booker in the last period, per second."""
+    """The traffic of one member, or of all, to one booker in the last period, per second."""
 
     sent: float = 0.0
     accepted: float = 0.0
-    refused: float = 0.0  # turned away, or an error
+    refused: float = 0.0  # refused, or an error
     late: float = 0.0  # not answered in time
 
     def row(self) -> list[float]:
-        """Return it as a report carries it."""
+        """Return it as a row of a report."""
         return [round(one, 3) for one in (self.sent, self.accepted, self.refused, self.late)]
 
     def plus(self, other: Traffic) -> Traffic:
@@ -53,21 +53,21 @@
 
     @property
     def pressed(self) -> bool:
-        """Whether it shows a booker that can't keep up."""
+        """Return whether the booker is overloaded."""
         bad = self.refused + self.late
         return bad > PRESSED_BAD_SHARE * max(bad + self.accepted, MIN_LIMIT_PER_S)
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One member's report: what it was offered, and its traffic by booker."""
+    """One member's report: its offered calls per second, and its traffic by booker."""
 
     at_ms: int
     offered: float
     bookers: Mapping[str, Traffic]
 
     def value(self) -> dict[str, Any]:
-        """Return it as it is stored."""
+        """Return the stored form."""
         rows = {name: one.row() for name, one in sorted(self.bookers.items())}
         return {"at_ms": self.at_ms, "offered": round(self.offered, 3), "bookers": rows}
 
@@ -77,7 +77,7 @@
 
 
 def parse_report(value: Any) -> Report | None:
-    """Read a report; None where it is not one."""
+    """Parse a report; None if it is malformed."""
     if not isinstance(value, dict):
         return None
     at_ms, offered, rows = value.get("at_ms"), value.get("offered"), value.get("bookers")
@@ -93,17 +93,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """What a booker's owner publishes: the fleet's limit and the demand it is split by."""
+    """The state that a booker's owner publishes: the fleet's limit and the demand by which it is split."""
 
-    limit: float | None = None  # sends a second from all members; None: none is needed
-    demand: float = 0.0  # offered to all members a second
+    limit: float | None = None  # sends per second of all members; None: no limit
+    demand: float = 0.0  # calls per second offered to all members
     members: int = 1
     pressed: bool = False
-    at_ms: int = 0  # of the newest report that was summed; each member's of that period is a part of it
-    bore: float = 0.0  # what the booker took when it was last pressed and serving; 0: not known
+    at_ms: int = 0  # time of the latest report in the sum; it includes the reports of that period
+    bore: float = 0.0  # capacity: accepted per second when last pressed and not stalled; 0: not known
 
     def value(self) -> dict[str, Any]:
-        """Return it as a record carries it."""
+        """Return the record's value."""
         limit = None if self.limit is None else round(self.limit, 3)
         return {
             "limit": limit, "demand": round(self.demand, 3), "members": self.members,
@@ -111,13 +111,13 @@
         }  # fmt: skip
 
     def within(self, limit: float) -> Pressure:
-        """Return it with no more than that limit, per second."""
+        """Return a copy whose limit is at most `limit` per second."""
         return replace(self, limit=limit if self.limit is None else min(self.limit, limit))
 
     def share(self, offered: float, size: int) -> float | None:
-        """Return what one member with that demand may send a second, in a fleet of at least `size`.
+        """Return how much a member with `offered` calls a second may send, in a fleet of at least `size`.
 
-        Demands that are not known are taken for even; a fleet larger than the owner saw lessens each share.
+        Unknown demands are assumed to be equal; a fleet larger than the owner saw makes shares smaller.
         """
         if self.limit is None:
             return None
@@ -125,12 +125,14 @@
         part = offered / max(self.demand, offered) if self.demand > 0 and offered > 0 else 0.0
         if self.demand <= 0:
             part = 1 / members
-        lessened = self.members / members  # of the demand-led part too: the others' demand is not known
+        lessened = (
+            self.members / members
+        )  # also for the part by demand, as the additional members' demand is unknown
         return self.limit * (EVENLY_SPLIT_SHARE / members + (1 - EVENLY_SPLIT_SHARE) * part * lessened)
 
 
 def parse_pressure(value: Any) -> Pressure | None:
-    """Read a pressure; None where it is not one."""
+    """Parse a pressure; None if it is malformed."""
     if not isinstance(value, dict):
         return None
     limit, demand = value.get("limit"), value.get("demand")
@@ -147,36 +149,37 @@
 
 
 class LimitController:
-    """The fleet's limit for one booker, in the hands of its owner; moved once a period."""
+    """Computes the fleet's limit for one booker, once a period; run by the booker's owner."""
 
     def __init__(self) -> None:
         self.limit: float | None = None
-        self.capacity = 0.0  # what the booker took when it was last pressed and serving
-        self.idle_periods = 0  # periods hardly used
-        self.unpressed_periods = 0  # periods in a row that were used and not pressed
+        self.capacity = 0.0  # accepted per second when last pressed and not stalled
+        self.idle_periods = 0  # periods with little use of the limit
+        self.unpressed_periods = 0  # in a row, with the limit in use
         self.capacity_history: deque[float] = deque(maxlen=CAPACITY_HISTORY_PERIODS)
-        self.was_cold_unpressed = False  # in the last period it was cold, and took what it was sent
+        self.was_cold_unpressed = False  # the last period: cold, and not pressed
 
     def resume(self, pressure: Pressure) -> None:
-        """Go on from what the owner before published.
+        """Continue from what the previous owner published.
 
-        Danger: taken from the limit, what a booker bears was an eighth where a cold one changed owners, and
-        the parts of its ramp eighths of that; and the most of all limits seen where it never was cold.
+        The published capacity is used, not the limit: when a cold booker changed owners, its limit was an
+        eighth of the capacity and its slow start took eighths of that. Without a cold phase, the highest
+        limit seen became the capacity.
         """
         self.limit, self.capacity = pressure.limit, pressure.bore or max(self.capacity, pressure.limit or 0.0)
         self.idle_periods = self.unpressed_periods = 0
 
     def restore_capacity(self) -> None:
-        """Take back what it bore some periods ago: since then it was another booker than was thought."""
+        """Restore the highest recent capacity: the booker had been replaced in the meantime."""
         self.capacity = max(self.capacity, *self.capacity_history, 0.0)
 
     def step(self, traffic: Traffic, *, cold: bool = False) -> bool:
-        """Move the limit by a period's traffic of the whole fleet; returns whether the booker is pressed.
+        """Update the limit from the whole fleet's traffic of a period; return whether the booker is pressed.
 
-        Danger: what a cold booker took, taken for what it bears, made its parts eighths of an eighth.
+        A cold booker's accepted traffic is no capacity: slow start would take eighths of an eighth.
         """
         self.capacity_history.append(self.capacity)
-        # Danger: two periods' traffic told in one was taken for what it bears, and a cold one got too much.
+        # Capped: two periods' traffic in one report would overstate the capacity of a cold booker.
         accepted = traffic.accepted if self.limit is None else min(traffic.accepted, self.limit)
         warm, self.was_cold_unpressed = self.was_cold_unpressed and not cold, cold and not traffic.pressed
         if traffic.pressed:
@@ -185,8 +188,8 @@
         if self.limit is None:
             return False
         if warm:
-            # Danger: what it turned away while it was cold and nobody knew had halved the limit. Warm, it got
-            # half of what it bears, and as long as that was not used up it stayed so.
+            # Refusals while the booker was cold, before that was known, have halved the limit. A limit not
+            # used up does not grow, so the warm booker would stay at half of its capacity.
             self.limit = max(self.limit, 0.9 * self.capacity)
         if traffic.sent < MIN_USED_SHARE * self.limit:
             self.unpressed_periods = 0
@@ -200,24 +203,24 @@
     def _lower(self, traffic: Traffic, accepted: float, cold: bool) -> None:
         """Lower the limit of a booker that is pressed."""
         self.idle_periods = self.unpressed_periods = 0
-        # Danger: one late call where little was sent, as members had stood still, halved the limit
-        # thrice, and what it took then passed for what it bears: 20 s till it was back. There it falls by
-        # the part that was bad (as DCTCP does, Alizadeh et al. 2010); else to what was taken.
+        # With little traffic, after members had been paused, one late call halved the limit three times and
+        # the little that was accepted became the capacity: recovery took 20 s. There the limit falls by
+        # the bad part (as in DCTCP, Alizadeh et al. 2010); otherwise to what was accepted.
         part = 0.0
         if self.limit is not None and traffic.sent < MIN_USED_SHARE * self.limit:
             part = traffic.accepted / (traffic.accepted + traffic.refused + traffic.late)
-        # One that takes a good part has a new capacity; one that takes next to nothing has stalled, and
-        # what it bore before is where it is soon taken back to.
+        # A booker that still accepts a good part has a new capacity. One that accepts next to nothing has
+        # stalled: its former capacity is kept, so that the limit soon returns to it.
         if accepted >= STALLED_SHARE * self.capacity and not cold:
             self.capacity = max(accepted, part * self.capacity)
         least = max(MIN_LIMIT_PER_S, MIN_LIMIT_SHARE * self.capacity)
         self.limit = max(accepted, least, max(0.5, part) * (self.limit or 0.0))
 
     def _raised(self, limit: float, accepted: float) -> float:
-        """Return the limit after a period in which it was used up and the booker was not pressed."""
+        """Return the limit after a period in which it was in use and the booker was not pressed."""
         self.idle_periods = 0
         self.unpressed_periods += 1
-        # Danger: kept at what it took while it was halved, the way back after a later stall began from there.
+        # Raised again after a reduction: else recovery from a later stall starts at the reduced capacity.
         self.capacity = max(self.capacity, accepted)
         if limit < 0.5 * self.capacity:
             return min(2 * limit, 0.9 * self.capacity)
@@ -227,9 +230,9 @@
 
 
 def cold_limit(share: float, capacity: float, other_rates: Iterable[float]) -> float:
-    """Return what the whole fleet may send a booker that comes back, `share` of its usual load.
+    """Return how much the whole fleet may send per second to a returning booker: `share` of its usual load.
 
-    What is usual is what it bore when it was last pressed; for one never pressed, what the others take now.
+    The usual load is its capacity; for a booker that was never pressed, the mean that the others accept now.
     """
     taken = [one for one in other_rates if one > 0]
     usual = capacity or (sum(taken) / len(taken) if taken else 0.0)
@@ -237,7 +240,7 @@
 
 
 def sum_reports(reports: Iterable[Report], booker: str) -> tuple[Traffic, float]:
-    """Return the fleet's traffic at one booker and the demand on all members."""
+    """Return the fleet's traffic to one booker and the demand on all members."""
     traffic, demand = Traffic(), 0.0
     for one in reports:
         demand += one.offered
--- a/bitternbeam/fleet/retries.py
+++ b/bitternbeam/fleet/retries.py
@@ -1,23 +1,23 @@
-"""How many repeated attempts one controller may make, and how many first attempts it should not.
+"""Retry budget, client-side throttle and backoff of one controller.
 
 - `RetryBudget`: retries at most a fraction of first attempts over a sliding window, with a floor for quiet
-  times (as Finagle's RetryBudget and Envoy's retry budget do; a limit on attempts a call alone lets a whole
-  fleet send as many times as much just when the bookers are pressed).
+  times (as Finagle's and Envoy's retry budgets). A limit on attempts per call alone would let the whole fleet
+  multiply its attempts just when the bookers are pressed.
 - `Throttle`: client-side adaptive throttling (Beyer et al., Site Reliability Engineering, ch. 21 "Handling
-  Overload"): first attempts are turned away with probability max(0, (requests - K accepts) / (requests + 1)).
-  One in ten is always let through: with the formula alone, a service that came back after a long silence was
-  still turned away nine times in ten 40 s later (simulated, 100 calls a second).
+  Overload"): rejects first attempts with probability max(0, (requests - K accepts) / (requests + 1)).
+  One in ten always passes: with the formula alone, a service that returned after a long outage was still
+  refused nine times in ten 40 s later (simulated, 100 calls a second).
 - `backoff_us`: exponential backoff with full jitter (Brooker, "Exponential Backoff And Jitter", 2015).
 
-Times are microseconds, handed in, as the random source is.
+Times are microseconds, passed in, as is the random source.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-MAX_REJECT_PROBABILITY = 0.9  # of first attempts
-WINDOW_PARTS = 10  # of a window: what is older than it goes a tenth at a time
+MAX_REJECT_PROBABILITY = 0.9  # the rest always passes
+WINDOW_PARTS = 10  # old counts are dropped one part at a time
 
 
 class RandomSource(Protocol):
@@ -29,7 +29,7 @@
 
 
 class SlidingWindow:
-    """Counts over a sliding window, in tenths of it."""
+    """Counts over a sliding window, kept in tenths of it."""
 
     def __init__(self, window_us: int) -> None:
         self.part_us = max(1, window_us // WINDOW_PARTS)
@@ -43,7 +43,7 @@
         self.newest_part = max(self.newest_part, part)
 
     def add(self, now_us: int, count: float = 1.0) -> None:
-        """Count something."""
+        """Add to the count."""
         self._roll(now_us)
         self.counts[self.newest_part % WINDOW_PARTS] += count
 
@@ -54,7 +54,7 @@
 
 
 class RetryBudget:
-    """Whether a repeated attempt may go out now."""
+    """Limits retries to a fraction of the first attempts."""
 
     def __init__(self, fraction: float, window_us: int, floor_per_s: float) -> None:
         self.fraction, self.window_us, self.floor_per_s = fraction, window_us, floor_per_s
@@ -65,7 +65,7 @@
         self.firsts.add(now_us)
 
     def retry(self, now_us: int, size: int) -> bool:
-        """Take one retry from the budget, if it holds one; the floor is shared by `size` members."""
+        """Take a retry from the budget; return False if it is empty. `size` members share the floor."""
         floor = self.floor_per_s * self.window_us / 1e6 / max(1, size)
         if self.retries.total(now_us) + 1 > self.fraction * self.firsts.total(now_us) + max(1.0, floor):
             return False
@@ -74,14 +74,14 @@
 
 
 class Throttle:
-    """Whether a first attempt is turned away before it is made."""
+    """Rejects first attempts before they are sent."""
 
     def __init__(self, window_us: int, accepts_factor: float, random: RandomSource) -> None:
         self.accepts_factor, self.random = accepts_factor, random
         self.requests, self.accepts = SlidingWindow(window_us), SlidingWindow(window_us)
 
     def probability(self, now_us: int) -> float:
-        """Return the share of first attempts to turn away now."""
+        """Return the share of first attempts to reject now."""
         requests = self.requests.total(now_us)
         turned = (requests - self.accepts_factor * self.accepts.total(now_us)) / (requests + 1)
         return min(MAX_REJECT_PROBABILITY, max(0.0, turned))
@@ -93,11 +93,11 @@
         return turned
 
     def accepted(self, now_us: int) -> None:
-        """Count one that a booker took."""
+        """Count an attempt that a booker accepted."""
         self.accepts.add(now_us)
 
 
 def backoff_us(attempt: int, base_us: int, most_us: int, random: RandomSource) -> int:
-    """Return how long to wait before attempt 1, 2, ...: anything up to the doubled bound."""
+    """Return a random delay before attempt 1, 2, ..., below a bound that doubles with each attempt."""
     bound_us = min(most_us, base_us << min(attempt, 30))
     return int(random.random() * bound_us)
--- a/bitternbeam/fleet/view.py
+++ b/bitternbeam/fleet/view.py
@@ -1,11 +1,11 @@
-"""The pool view: what the directory lists and what the probes say, reconciled once for the whole fleet.
-
-The owner of the view reads the directory and publishes; the others follow. No single reply empties the pool:
-an instance that a reply leaves out drains at once (nothing new is sent to it) and is gone only after
-`gone_us`; a reply that leaves out every instance changes nothing until it has been said for six times that,
-since an engine that lost its data tells nothing until the bookers' agents have registered them anew.
-What the fleet's probes eject drains; what they let come back counts as started then, so that every member's
-module takes it for cold.
+"""The pool view: the directory's list and the probes' results, merged once for the whole fleet.
+
+The owner of the view reads the directory and publishes; the other members follow. No single reply empties the
+pool: a server missing from a reply is drained at once (nothing new is sent to it) and removed only after
+`gone_us`. An empty reply changes nothing until the directory has been empty for six times that, as an engine
+that lost its data lists nothing until the bookers' agents have registered them again.
+A server that the fleet's probes eject is drained; one that returns gets that time as its start time, so that
+every member's decision module treats it as cold.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 READY, DRAINING = "ready", "draining"
 STATES = (READY, DRAINING)
-EMPTY_GRACE_MULTIPLE = 6  # times gone_us, for which a directory must have been empty to be believed
+EMPTY_GRACE_MULTIPLE = 6  # an empty directory is accepted after this multiple of gone_us
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     share: float = 1.0
 
     def row(self) -> list[Any]:
-        """Return it as a record carries it."""
+        """Return the server as a row of the record."""
         return [
             self.name, self.host, self.port, self.transport, self.cell,
             self.state, self.started_ms, self.share,
@@ -43,7 +43,7 @@
 
 
 def parse_server(row: Any) -> Server | None:
-    """Read one row of a record; None where it is not one."""
+    """Parse one row of a record; None if it is malformed."""
     if not isinstance(row, list) or len(row) != 8:
         return None
     name, host, port, transport, cell, state, started, share = row
@@ -59,12 +59,12 @@
 
 
 def view_value(servers: Iterable[Server], members: int) -> dict[str, Any]:
-    """Return a view as a record carries it; `members` is the size of the fleet that it was made in."""
+    """Return a view as the record's value; `members` is the fleet size when it was made."""
     return {"servers": [one.row() for one in sorted(servers, key=lambda one: one.name)], "members": members}
 
 
 def parse_servers(value: dict[str, Any]) -> dict[str, Server] | None:
-    """Read a view's servers by name; None where any row is not one: half a view is no view."""
+    """Parse a view's servers by name; None if any row is malformed, as partial views are not used."""
     rows = value.get("servers")
     if not isinstance(rows, list):
         return None
@@ -78,30 +78,30 @@
 
 
 class Pool:
-    """The directory as the view's owner holds it, over its replies."""
+    """The view owner's list of servers, built from the directory's replies."""
 
     def __init__(self, gone_us: int) -> None:
         self.gone_us = gone_us
         self.listed: dict[str, Server] = {}
-        self.missing_us: dict[str, int] = {}  # since when a listed one has been left out
+        self.missing_us: dict[str, int] = {}  # since when a listed server is missing from the replies
         self.empty_us: int | None = None
-        self.read = False  # whether any reply was taken
+        self.read = False  # whether any reply was accepted
 
     def resume(self, servers: Mapping[str, Server]) -> None:
-        """Go on from a view that another owner published: what was read here before is out of date."""
+        """Continue from a view that another owner published, which replaces what was read here."""
         self.listed = dict(servers)
         self.missing_us, self.empty_us, self.read = {}, None, False
 
     def update(self, servers: Mapping[str, Server], now_us: int) -> None:
-        """Take one whole reply of the directory; only a reply lets go of what has been missing.
+        """Apply one complete reply of the directory; missing servers are removed only here.
 
-        Danger: time alone must not: a directory that is silent says of nothing that it has gone.
+        They do not expire by time alone, as a directory that does not answer reports no removal.
         """
         if not servers and self.listed:
             if self.empty_us is None:
                 self.empty_us = now_us
             if now_us - self.empty_us < EMPTY_GRACE_MULTIPLE * self.gone_us:
-                return  # an engine that starts anew must not take the whole pool away
+                return  # an engine that restarts must not empty the pool
         else:
             self.empty_us = None
         self.read = True
@@ -116,7 +116,7 @@
                 self.listed.pop(name, None)
 
     def servers(self, probes: Mapping[str, BookerHealth]) -> list[Server]:
-        """Return the view: the directory's word, narrowed by what the probes say."""
+        """Return the view: the directory's servers, restricted by their probed health."""
         found = []
         for name, one in self.listed.items():
             state, share, started = one.state, 1.0, one.started_ms
@@ -133,14 +133,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a follower does to get from one view to the next."""
+    """The difference between two views, as a follower applies it."""
 
     servers: tuple[Server, ...]  # new or changed, with their state
     gone: tuple[Server, ...]
 
 
 def change(old: Mapping[str, Server], new: Mapping[str, Server]) -> Change:
-    """Return what differs; a changed share alone is no change of the list."""
+    """Return the difference; a change of the share alone is ignored."""
     plain = {name: replace(one, share=1.0) for name, one in old.items()}
     changed = tuple(one for name, one in sorted(new.items()) if plain.get(name) != replace(one, share=1.0))
     return Change(changed, tuple(one for name, one in sorted(old.items()) if name not in new))
