--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -1,7 +1,7 @@
 """A model of the lease protocol: processes with Session and Claim, the stand-in engine, a fenced receiver.
 
-Each process has at most one request on its way to the engine; an act, once sent, may reach the receiver
-at any later time. A paused process neither ticks nor sends, and answers to it wait until it resumes.
+Each process has at most one request in flight to the engine; an action, once sent, may reach the receiver
+at any later time. A paused process neither ticks nor sends, and its answers wait until it resumes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     session: Session
     claim: Claim
     paused: bool = False
-    asked: Step | None = None  # a request on its way
+    asked: Step | None = None  # a request in flight
     asked_us: int = 0
     create_asked: bool = False
 
@@ -52,7 +52,7 @@
             self.processes.append(Process(name, Session(TIMES, 0), Claim(KEY, name, TIMES)))
 
     def advance(self, step_us: int) -> None:
-        """Let time pass; the engine expires sessions and running processes tick."""
+        """Advance the time; the engine expires sessions and running processes tick."""
         self.now_us += step_us
         self.engine.expire(self.now_us)
         for one in self.processes:
@@ -60,7 +60,7 @@
                 one.session.tick(self.now_us)
 
     def send(self, one: Process) -> None:
-        """Let a running process send what it wants: a session, a renewal, or its claim's next step."""
+        """Let a running process send its next request: a session, a renewal, or its claim's next step."""
         if one.paused or one.asked is not None or one.create_asked:
             return
         session, now = one.session, self.now_us
@@ -80,7 +80,7 @@
             one.asked, one.asked_us = step, now
 
     def answer(self, one: Process) -> None:
-        """Let the engine take a process's request now; the answer reaches it at once unless it is paused."""
+        """Let the engine handle a process's request; the answer arrives at once unless it is paused."""
         if one.paused:
             return
         now, engine, claim = self.now_us, self.engine, one.claim
@@ -119,14 +119,14 @@
             claim.released()
 
     def act(self, one: Process) -> None:
-        """Let a process act if it believes it may: the act is now on its way to the receiver."""
+        """Send an action of a process that may act; it is then in flight to the receiver."""
         if not one.paused:
             token = one.claim.may_act(self.now_us, one.session)
             if token is not None:
                 self.acts.append((one.name, token))
 
     def arrive(self, index: int) -> None:
-        """Let the receiver judge one act on its way."""
+        """Let the receiver decide on one action in flight."""
         if not self.acts:
             return
         name, token = self.acts.pop(index % len(self.acts))
@@ -148,9 +148,9 @@
 
 
 def interleaved(accepted: list[tuple[int, str, Token]]) -> bool:
-    """Whether an owner's token was let through again after another's had been: two owners in one interval.
+    """Return whether a token was accepted again after another one: two owners in one interval.
 
-    Each token's acts at the receiver must form one run, and the runs must come in growing order.
+    Each token's actions must form one run at the receiver, with the runs in increasing order.
     """
     finished: set[Token] = set()
     last: Token | None = None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -34,7 +34,7 @@
         ([Token(5, "a"), Token(7, "b")], Token(6, "c"), False),
     ],
 )
-def test_a_fence_lets_through_only_the_highest_token(seen: list[Token], token: Token, accepted: bool) -> None:
+def test_a_fence_accepts_only_the_highest_token(seen: list[Token], token: Token, accepted: bool) -> None:
     fence = Fence()
     for one in seen:
         assert fence.admit(one).accepted
@@ -44,15 +44,15 @@
 
 
 @pytest.mark.parametrize("text", ["", "5", "@a", "x@a", "-1@a", "5@", "1" * 19 + "@a"])
-def test_tokens_that_cannot_be_read_are_none(text: str) -> None:
+def test_malformed_tokens_parse_to_none(text: str) -> None:
     assert parse_token(text) is None
 
 
-def test_a_token_reads_back_as_written() -> None:
+def test_a_token_round_trips() -> None:
     assert parse_token(str(Token(42, "node-7"))) == Token(42, "node-7")
 
 
-def test_numbers_grow_past_what_the_engine_forgot() -> None:
+def test_numbers_increase_after_the_engine_lost_its_data() -> None:
     assert next_number(stored=0, seen=9) == 10
     assert next_number(stored=12, seen=9) == 13
 
@@ -91,17 +91,17 @@
         (LeaseTimes(lock_delay_us=-1), "lock_delay_ms"),
     ],
 )
-def test_times_that_cannot_work_are_named(times: LeaseTimes, key: str) -> None:
+def test_invalid_lease_times_name_their_key(times: LeaseTimes, key: str) -> None:
     assert key in [found for found, _what in find_faults(times)]
 
 
-def test_the_default_times_and_the_models_work() -> None:
+def test_default_and_model_times_are_valid() -> None:
     assert find_faults(LeaseTimes()) == []
     assert find_faults(TIMES) == []
 
 
 def owner_after(model: Model, seconds: float, *, pausing: str | None = None) -> None:
-    """Let every process do all it would, in steps of a tick."""
+    """Run every process in steps of a tick."""
     for _ in range(int(seconds * SECOND) // TIMES.tick_us):
         model.advance(TIMES.tick_us)
         for one in model.processes:
@@ -113,7 +113,7 @@
             model.arrive(0)
 
 
-def test_one_of_three_becomes_owner_and_acts_alone() -> None:
+def test_exactly_one_of_three_becomes_owner_and_acts() -> None:
     model = Model()
     owner_after(model, 2)
     assert len(model.believers()) == 1
@@ -145,7 +145,7 @@
     assert model.believers() == taker
 
 
-def test_after_the_engine_forgets_all_the_numbers_still_grow() -> None:
+def test_token_numbers_increase_after_the_engine_loses_all_data() -> None:
     model = Model()
     owner_after(model, 2)
     before = model.fence.highest
@@ -157,7 +157,7 @@
     assert not interleaved(model.accepted)
 
 
-def test_a_refused_acquire_waits_for_a_part_of_the_lock_delay() -> None:
+def test_a_refused_acquire_is_retried_after_part_of_the_lock_delay() -> None:
     claim = Claim(KEY, "a", TIMES)
     session = Session(TIMES, 0)
     session.created("s", 0)
@@ -167,7 +167,7 @@
     assert claim.next_step(TIMES.retry_us, session, wanted=True) is Step.ACQUIRE
 
 
-def test_work_that_is_no_longer_ours_is_released() -> None:
+def test_work_that_is_no_longer_wanted_is_released() -> None:
     model = Model(count=1)
     owner_after(model, 1)
     one = model.processes[0]
@@ -175,7 +175,7 @@
     assert one.claim.next_step(model.now_us, one.session, wanted=False) is Step.RELEASE
 
 
-def test_a_session_the_engine_lost_is_not_trusted() -> None:
+def test_a_session_the_engine_lost_is_not_valid() -> None:
     engine = Engine()
     session = Session(TIMES, 0)
     session.created(engine.create_session({"TTL": "3s"}, 0), 0)
@@ -186,7 +186,7 @@
 
 
 class Lease(RuleBasedStateMachine):
-    """Every interleaving hypothesis finds of three processes, the engine, pauses, restarts and late acts."""
+    """Random interleavings of three processes, the engine, pauses, restarts and delayed actions."""
 
     explored: ClassVar[set[tuple[object, ...]]] = set()
 
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -1,4 +1,4 @@
-"""Members, places in line and records of the fleet: what is decided, in simulated time."""
+"""Decisions on membership, placement and records of the fleet, in simulated time."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     one.update(dict.fromkeys(names, NONE), now_us)
 
 
-def test_a_member_that_comes_counts_after_it_settled_and_one_that_leaves_at_once_no_more() -> None:
+def test_a_new_member_counts_after_settling_and_a_departed_one_at_once_no_more() -> None:
     one = roster(a="")
     told(one, S, "me", "a", "b")
     assert one.stable(S) == ["a", "me"]
@@ -37,7 +37,7 @@
     assert one.stable(5 * S) == ["b", "me"]
 
 
-def test_a_member_that_flaps_settles_longer_each_time_up_to_a_bound() -> None:
+def test_a_flapping_member_settles_longer_each_time_up_to_a_bound() -> None:
     one = roster(a="")
     now, waits = 0, []
     for _ in range(6):
@@ -58,7 +58,7 @@
     assert "a" in one.stable(65 * S)
 
 
-def test_shares_assume_the_largest_fleet_seen_lately() -> None:
+def test_shares_assume_the_largest_recent_fleet_size() -> None:
     one = roster(**{f"m{number}": "" for number in range(9)})
     assert one.size(S) == 10
     told(one, 2 * S, "me")  # the engine says that all the others have gone
@@ -69,7 +69,7 @@
 
 @settings(deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 3 * S), st.sets(st.sampled_from("abcdefgh"))), max_size=30))
-def test_the_size_is_never_below_what_was_told_within_the_window(steps: list[tuple[int, set[str]]]) -> None:
+def test_the_size_is_never_below_a_size_within_the_window(steps: list[tuple[int, set[str]]]) -> None:
     one = Membership("me", Damping(settle_us=S, recent_us=5 * S), 0)
     now, seen = 0, [(0, 1)]
     for wait, names in steps:
@@ -80,7 +80,7 @@
         assert one.size(now) <= max(size for _at, size in seen)
 
 
-def test_one_that_stands_aside_comes_last_and_all_aside_is_as_none() -> None:
+def test_a_declining_member_comes_last_and_if_all_decline_the_order_stays() -> None:
     line = roster(a="", b="").order("probe/b1", 0)
     first = line[0]
     asides = {name: "probe/b1" if name == first else "" for name in ("a", "b")}
@@ -102,11 +102,11 @@
         ({"a": "probe/b1", "b": "probe/b1", "c": ""}, False),  # two could not either: it is the booker
     ],
 )
-def test_who_may_stand_aside(others: dict[str, str], may: bool) -> None:
+def test_which_members_may_decline(others: dict[str, str], may: bool) -> None:
     assert roster(**others).may_decline("probe/b1") is may
 
 
-def test_a_member_is_alone_after_a_ttl_without_a_good_answer_but_not_for_its_own_pause() -> None:
+def test_a_member_is_isolated_after_a_ttl_without_answer_but_not_by_its_own_pause() -> None:
     one = EngineContact(2 * S, 0)
     assert not one.tick(2 * S - 1)
     one.pause_ended(100 * S)
@@ -146,14 +146,14 @@
         (Phase.CHECKING, None, (1, False), 1, True),
     ],
 )
-def test_when_work_is_wanted(
+def test_when_a_member_should_hold_work(
     phase: Phase, free: int | None, line: tuple[int, bool], now_us: int, wanted: bool
 ) -> None:
     place, aside = line
     assert should_hold(claim(phase), lock(free), place, aside, now_us) is wanted
 
 
-def test_a_lock_that_was_never_seen_or_is_no_longer_known_is_not_wanted() -> None:
+def test_a_lock_of_unknown_state_is_not_wanted() -> None:
     one = lock(0)
     one.forget()
     assert not should_hold(claim(Phase.FOLLOWING), one, 0, False, 99 * S)
@@ -163,7 +163,7 @@
     assert one.free_since_us == 5 * S  # still the same free time
 
 
-def test_a_session_that_renews_is_sure_until_its_margin() -> None:
+def test_a_renewed_session_is_valid_until_its_margin() -> None:
     session = Session(TIMES, 0)
     session.created("s", 0)
     session.tick(TIMES.safe_us - 1)
@@ -188,7 +188,7 @@
         '{"token":"1@a","at_ms":1,"is":[]}',
     ],
 )  # fmt: skip
-def test_what_is_no_record_is_counted_and_changes_nothing(text: str) -> None:
+def test_a_malformed_record_is_counted_and_changes_nothing(text: str) -> None:
     follower = RecordReader(10 * S)
     assert follower.read(record(5, x=1).text(), 0, 0) is ReadResult.NEW
     assert follower.read(text, S, 1000) is ReadResult.MALFORMED
@@ -207,7 +207,7 @@
         (record(9, "b", at_ms=2_001, x=2), ReadResult.FUTURE),
     ],
 )
-def test_a_reader_believes_only_the_highest_token_of_its_time(second: Record, heard: ReadResult) -> None:
+def test_a_reader_accepts_only_the_highest_token_of_its_time(second: Record, heard: ReadResult) -> None:
     follower = RecordReader(10 * S)
     follower.read(record(5, x=1).text(), 0, 0)
     assert follower.read(second.text(), 0, 0) is heard
@@ -215,7 +215,7 @@
     assert believed == (second if heard in (ReadResult.NEW, ReadResult.SAME) else record(5, x=1))
 
 
-def test_a_record_lapses_by_the_readers_clock_and_an_old_one_is_never_taken() -> None:
+def test_a_record_expires_by_the_readers_clock_and_an_old_one_is_rejected() -> None:
     follower = RecordReader(10 * S)
     follower.read(record(5, at_ms=1_000_000).text(), 0, 1_000_000)
     assert follower.fresh(10 * S) and follower.fresh(10 * S + 1) is None
@@ -233,7 +233,7 @@
         last = token
 
 
-def test_a_writer_looks_first_writes_over_what_it_saw_and_looks_again_after_losing() -> None:
+def test_a_writer_reads_first_replaces_that_version_and_reads_again_after_losing() -> None:
     writer, mine = Publication(refresh_us=S), Token(7, "me")
     assert writer.due(mine, {"x": 1}, 0)
     assert writer.write(mine, {"x": 1}, 0, 0) is None  # not looked yet
@@ -247,7 +247,7 @@
     assert writer.write(mine, {"x": 1}, 2, 0) == Token(8, "c")  # barred
 
 
-def test_a_new_owner_writes_at_once_and_then_for_changes_and_refreshes_alone() -> None:
+def test_a_new_owner_writes_at_once_and_then_only_changes_and_refreshes() -> None:
     writer, mine = Publication(refresh_us=S), Token(7, "me")
     writer.record_read(0, None)
     write = writer.write(mine, {"x": 1}, 0, 0)
@@ -261,7 +261,7 @@
     assert writer.due(mine, {"x": 1}, 1)
 
 
-def test_a_written_record_reads_back() -> None:
+def test_a_record_round_trips() -> None:
     one = record(3, "ctl-1", at_ms=12, share=0.5)
     assert parse_record(one.text()) == one
     assert one.text().startswith('{"token":"3@ctl-1"')  # the lab's logs keep the beginning
--- a/tests/test_fleet_reports.py
+++ b/tests/test_fleet_reports.py
@@ -1,4 +1,4 @@
-"""Reading the members' reports: in slices, and each for itself."""
+"""Reading the members' reports: in slices, each independent of the others."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Leading(Extension):
-    """One that leads and keeps what it heard."""
+    """An extension that leads and records the reports it receives."""
 
     name = "budgets"
 
@@ -38,7 +38,7 @@
     return {"Key": f"bitternbeam/fleet-report/{name}", "Value": value, "ModifyIndex": 7}
 
 
-def test_reports_are_read_a_slice_at_a_time_and_a_bad_one_costs_no_other() -> None:
+def test_reports_are_read_in_slices_and_a_bad_one_affects_no_other() -> None:
     part = {"at_ms": NOW_US // 1000, "budgets": {"filling": "x" * (SLICE // 3)}}
     body = [entry(f"m{one}", json.dumps(part)) for one in range(20)]
     body[5] = entry("m5", "{")
