--- a/tests/test_fleet_cuts.py
+++ b/tests/test_fleet_cuts.py
@@ -1,4 +1,4 @@
-"""A member that is cut from its engine one way: what becomes of what it held, in simulated time."""
+"""A member whose engine answers are lost: what happens to its locks, in simulated time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Api:
-    """The engine, in no time; while `cut`, it hears all and none of its answers arrives."""
+    """The engine without latency; while `cut`, requests arrive but their answers are lost."""
 
     def __init__(self) -> None:
         self.engine, self.now, self.cut = Engine(), 0, False
@@ -59,21 +59,21 @@
         return self._answer(200)
 
 
-def test_a_lock_whose_grant_was_not_heard_is_kept_by_one_behind_the_first_in_line() -> None:
+def test_a_stand_by_keeps_a_lock_whose_grant_it_did_not_receive() -> None:
     times, lock = lease_times(FLEET), Lock()
     lock.observe(None, 60_000_000)
     now = 60_000_000 + times.lock_delay_us + times.grace_us
     claim, session = Claim(KEY, "m1", times), Session(times, now)
     session.created("s1", now)
     assert claim.next_step(now, session, should_hold(claim, lock, 1, False, now)) is Step.ACQUIRE
-    claim.request_failed()  # no answer came
+    claim.request_failed()  # the answer was lost
     assert claim.next_step(now, session, should_hold(claim, lock, 1, False, now)) is Step.CHECK
     claim.check_answered("s1", session)
     assert claim.next_step(now, session, should_hold(claim, lock, 1, False, now)) is Step.READ_COUNTER
 
 
-def test_what_is_held_is_free_a_ttl_after_the_engine_was_heard_last() -> None:
-    # Heard by the engine to the end of its own TTL, it kept its locks from all for two.
+def test_locks_are_free_a_ttl_after_the_last_answer_of_the_engine() -> None:
+    # A member that renewed until its own TTL ended, without receiving answers, held its locks for two TTLs.
     api, times = Api(), lease_times(FLEET)
     deadlines: Any = type("Clock", (), {"now_us": lambda _self: api.now})()
     roster = Membership("m1", Damping(times.settle_us, FLEET.recent_ms * 1000), 0)
@@ -95,9 +95,7 @@
 
 
 @pytest.mark.parametrize(("period_us", "most_us"), [(500_000, 500_000), (0, 2_000_000)])
-def test_news_of_a_period_is_asked_for_within_one_after_questions_that_failed(
-    period_us: int, most_us: int
-) -> None:
+def test_a_watch_with_a_period_retries_within_one_period_after_failures(period_us: int, most_us: int) -> None:
     waits: list[int] = []
     clock = {"now_us": lambda _self: 0, "after": lambda _self, wait_us, _due: waits.append(wait_us)}
     deadlines: Any = type("Clock", (), clock)()
