--- a/tests/test_fleet_load.py
+++ b/tests/test_fleet_load.py
@@ -377,7 +377,7 @@
         wires.bounds.pressure(name, Pressure(4.0, 0.0, 4, False), True, wires.now())
         wires.bounds.buckets[name].tokens = 0.0
     wires.offer(1)
-    assert wires.said == [("refused", 1)] and not wires.sent and not module.offers
+    assert wires.said == [("send_refusal", 1)] and not wires.sent and not module.offers
     assert wires.counters["calls.over_all_shares"] == 1
 
 
@@ -400,12 +400,12 @@
     wires.bounds.pressure("b", Pressure(4.0, 0.0, 4, False), True, wires.now())
     wires.bounds.buckets["b"].tokens = 0.0
     full(wires)
-    assert [one.booker for one in wires.sent] == ["a"] and wires.said == [("refused", 1)]
+    assert [one.booker for one in wires.sent] == ["a"] and wires.said == [("send_refusal", 1)]
     assert wires.counters["sends.barred.over_share"] == 1
 
 
 @pytest.mark.parametrize(
-    ("outcome", "answer"), [(api.Outcome.TURNED_AWAY, "refused"), (api.Outcome.ERROR, "failed")]
+    ("outcome", "answer"), [(api.Outcome.TURNED_AWAY, "send_refusal"), (api.Outcome.ERROR, "send_failure")]
 )
 def test_a_retry_past_the_budget_is_answered_at_once(outcome: api.Outcome, answer: str) -> None:
     wires = Wires(Script("a", "b", "c"), "a", "b", "c", retry_floor_per_s=0.0, retry_fraction=0.0)
