--- a/bitternbeam/fleet/rendezvous.py
+++ b/bitternbeam/fleet/rendezvous.py
@@ -11,7 +11,7 @@
 from functools import lru_cache
 
 
-@lru_cache(maxsize=1 << 16)  # the same pairs are asked for at every tick
+@lru_cache(maxsize=1 << 16)  # the same pairs are needed at every tick
 def weight(member: str, work: str) -> int:
     """Return a stable 64-bit score of the pair; the same on every process and every run."""
     digest = hashlib.blake2b(f"{member}\x00{work}".encode(), digest_size=8).digest()
@@ -28,7 +28,7 @@
     return None if best is None else best[1]
 
 
-def ranked(work: str, members: Iterable[str], count: int) -> list[str]:
+def highest_ranked(work: str, members: Iterable[str], count: int) -> list[str]:
     """Return the `count` members of highest score for `work`, best first (owner and its stand-bys)."""
     return sorted(members, key=lambda member: (-weight(member, work), member))[:count]
 
--- a/bitternbeam/fleet/verdicts/bound.py
+++ b/bitternbeam/fleet/verdicts/bound.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bitternbeam.fleet.lease import DRIFT_PPM
-from bitternbeam.fleet.record import SKEW_MS
+from bitternbeam.fleet.record import MAX_CLOCK_SKEW_MS
 
 MAX_WATCH_RETRY_MS = 2_000  # longest pause before a failed watch is retried
 
@@ -23,4 +23,4 @@
 
 def max_effect_ms(duration_ms: int) -> int:
     """Return the longest time from issuing a verdict until it bars nobody any more, under any fault."""
-    return duration_ms + SKEW_MS + duration_ms * DRIFT_PPM // 1_000_000 + 1
+    return duration_ms + MAX_CLOCK_SKEW_MS + duration_ms * DRIFT_PPM // 1_000_000 + 1
--- a/tests/limits_model.py
+++ b/tests/limits_model.py
@@ -92,8 +92,8 @@
         """Run a member's lease steps; requests over a cut link fail."""
         session, claim, now = member.session, member.claim, self.now_us
         if not self.connected(member):
-            if claim.step(member.now, session, wanted=wanted) is not None:
-                claim.failed()
+            if claim.next_step(member.now, session, wanted=wanted) is not None:
+                claim.request_failed()
             return
         if session.id is None:
             body = {
@@ -105,9 +105,9 @@
             if self.engine.renew(str(session.id), now):
                 session.renewed(str(session.id), member.now)
             else:
-                session.lapsed()
+                session.expire()
         for _round in range(4):
-            step = claim.step(member.now, session, wanted=wanted)
+            step = claim.next_step(member.now, session, wanted=wanted)
             if step is None:
                 return
             self._answer(member, step)
@@ -117,13 +117,15 @@
         session_id = str(member.session.id)
         if step is Step.CHECK:
             _index, found = engine.read(key, False, now)
-            claim.checked(found[0].get("Session") if found else None, member.session)
+            claim.check_answered(found[0].get("Session") if found else None, member.session)
         elif step is Step.RELEASE or session_id not in engine.sessions:
-            claim.released() if step is Step.RELEASE else claim.failed()
+            claim.released() if step is Step.RELEASE else claim.request_failed()
             if step is Step.RELEASE and session_id in engine.sessions:
                 engine.put(key, b"", {"release": session_id}, now)
         elif step is Step.ACQUIRE:
-            claim.acquired(engine.put(key, member.name.encode(), {"acquire": session_id}, now), member.now)
+            claim.acquire_answered(
+                engine.put(key, member.name.encode(), {"acquire": session_id}, now), member.now
+            )
         elif step is Step.READ_COUNTER:
             index, text = self.read(key + "/token")
             claim.counter_read(int(text or 0), index)
@@ -199,7 +201,7 @@
             else:
                 publisher.write_failed()
         elif write is not None:
-            member.claim.refused(write)
+            member.claim.act_refused(write)
 
     def use(self, member: Member, wanted: int, span_us: int = 0) -> int:
         """Let a member use what it wants within the span that ends now, as far as its limit lets it."""
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -267,7 +267,7 @@
     assert second.bounds.admit(offer("acme"), 1) is not None
     third.heard({"m1": second.reports(S)}, S)
     assert third.bounds.admit(offer("acme"), S) is not None and third.bounds.admit(offer("bolt"), S) is None
-    assert third.kept["tenant"].claim.seen >= 7
+    assert third.kept["tenant"].claim.highest_seen >= 7
     assert [row[0] for row in third.board.record_value("tenant")["rows"]] == ["acme"]
 
 
@@ -325,7 +325,10 @@
     token = lead(member, "tenant", 3)
     member.kept["tenant"].judge = lambda: [Detection(subject, "floods", 2_000)]
     member.kept["tenant"].act(token, 1_500_000)
-    assert member.kept["tenant"].claim.seen >= 9 and member.board.active("tenant", subject, 1_500_000) is None
+    assert (
+        member.kept["tenant"].claim.highest_seen >= 9
+        and member.board.active("tenant", subject, 1_500_000) is None
+    )
 
 
 BAD = """[fleet]
