--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -65,11 +65,11 @@
         trial.change(lab, trial.amount / 4)
     for trial, lab in runs:
         # What is held is released first; then it has to be so for a while, however busy the machine.
-        wait_for(partial(amount_kept_recently, trial, lab), 60, "the new amount to be applied")
+        wait_for(partial(amount_kept_recently, trial, lab), 60, "the new amount is applied")
     for (trial, lab), amount in zip(runs, before, strict=True):
         trial.change(lab, amount)
     for trial, lab in runs:
-        wait_for(partial(limit_in_use, trial, lab), 60, "use to grow again")
+        wait_for(partial(limit_in_use, trial, lab), 60, "the limit is used again")
 
 
 BAD = """[fleet]
--- a/tests/test_limits_rules.py
+++ b/tests/test_limits_rules.py
@@ -47,20 +47,8 @@
     [
         (TOKEN, {}, SECOND, True, 41.0),
         (TOKEN, {}, 5 * SECOND, True, 1.0),  # the need it answers was sent too long ago
-        (
-            TOKEN,
-            {"rows": {"m0": GrantRow(40.0, 1, 1)}},
-            SECOND,
-            True,
-            1.0,
-        ),  # answers a need of an earlier start
-        (
-            TOKEN,
-            {"rows": {"m0": GrantRow(40.0, 2, 9)}},
-            SECOND,
-            True,
-            1.0,
-        ),  # answers a need that was never sent
+        (TOKEN, {"rows": {"m0": GrantRow(40.0, 1, 1)}}, SECOND, True, 1.0),  # need of an earlier start
+        (TOKEN, {"rows": {"m0": GrantRow(40.0, 2, 9)}}, SECOND, True, 1.0),  # a need that was never sent
         (TOKEN, {"rev": 4}, SECOND, False, 3.0),  # older than the applied record
         (Token(2, "m9"), {"rev": 99}, SECOND, False, 3.0),
         (Token(3, "m9"), {"rev": 99}, SECOND, False, 3.0),
@@ -83,9 +71,7 @@
     ledger = Ledger(RATE, LimitTimes(), TOKEN, "m1.1.1", 0)
     need = Need("m0", 2, 5, 50.0, 0, 10.0, True, TOKEN, 1, "m1.1.1")
     assert ledger.apply_need(replace(need, owner_term="m1.0.1", rev=60), 0) and ledger.pool == 0
-    assert (
-        ledger.plan_grants(1).rev == 61
-    )  # the token was reissued: revisions continue above those of the other term
+    assert ledger.plan_grants(1).rev == 61  # token reissued: revisions go on above the other term's
     assert ledger.apply_need(replace(need, seq=6, rev=61), 2) and ledger.pool == 10.0
     assert ledger.plan_grants(3).rows == {"m0": GrantRow(10.0, 2, 6)}  # what it reports holding, and no more
     assert not ledger.apply_need(replace(need, seq=5, extra=0.0, rev=62), 4)
@@ -112,9 +98,7 @@
     lines = replace(HELD, amount=20.0, most=1, tenants=("acme",))
     limits = MemberLimits([lines, replace(RATE, most=10)], LimitTimes(), "m0", 1, 0, recovered={"lines": 1})
     acme = CallScope("b1", "voice", "acme", "c1")
-    assert (
-        limits.try_acquire(acme, 0) == "calls"
-    )  # an earlier start may have sent: no line is acquired either
+    assert limits.try_acquire(acme, 0) == "calls"  # an earlier start may have sent: no line acquired
     assert limits.readers["lines"].local_limit.held == 1
     assert limits.try_acquire(acme, 2 * SECOND) == "" and limits.readers["lines"].local_limit.held == 2
     assert (
