--- a/tests/limits_model.py
+++ b/tests/limits_model.py
@@ -123,9 +123,8 @@
             if step is Step.RELEASE and session_id in engine.sessions:
                 engine.put(key, b"", {"release": session_id}, now)
         elif step is Step.ACQUIRE:
-            claim.acquire_answered(
-                engine.put(key, member.name.encode(), {"acquire": session_id}, now), member.now
-            )
+            is_held = engine.put(key, member.name.encode(), {"acquire": session_id}, now)
+            claim.acquire_answered(is_held, member.now)
         elif step is Step.READ_COUNTER:
             index, text = self.read(key + "/token")
             claim.counter_read(int(text or 0), index)
--- a/tests/test_verdict_judges.py
+++ b/tests/test_verdict_judges.py
@@ -325,10 +325,8 @@
     token = lead(member, "tenant", 3)
     member.kept["tenant"].judge = lambda: [Detection(subject, "floods", 2_000)]
     member.kept["tenant"].act(token, 1_500_000)
-    assert (
-        member.kept["tenant"].claim.highest_seen >= 9
-        and member.board.active("tenant", subject, 1_500_000) is None
-    )
+    assert member.kept["tenant"].claim.highest_seen >= 9
+    assert member.board.active("tenant", subject, 1_500_000) is None
 
 
 BAD = """[fleet]
